--- a/caroblug/gateway/__init__.py
+++ b/caroblug/gateway/__init__.py
@@ -1,6 +1,11 @@
 """The gateway: an entry before engines that pass tokens on themselves."""
 
 from caroblug.gateway._caller_requests import RawRequest
+from caroblug.gateway._exchange_results import (
+    ExchangeFailure,
+    HttpResponse,
+    ResponseHead,
+)
 from caroblug.gateway._first_settings import read_first_settings
 from caroblug.gateway._gateway import Gateway, make_gateway
 from caroblug.gateway._http_client import Address, fetch, format_request
@@ -22,7 +27,6 @@
     Unavailable,
     make_listing,
 )
-from caroblug.gateway._outcomes import Answer, Broken, Head
 from caroblug.gateway._settings import (
     GatewaySettings,
     SettingsProblem,
@@ -31,17 +35,17 @@
 
 __all__ = [
     "Address",
-    "Answer",
+    "HttpResponse",
     "AnswerFacts",
     "BackendServer",
-    "Broken",
+    "ExchangeFailure",
     "CallerRequest",
     "ConfigurationRead",
     "Dialect",
     "EngineReport",
     "Gateway",
     "GatewaySettings",
-    "Head",
+    "ResponseHead",
     "Listing",
     "Member",
     "NothingNew",
--- a/caroblug/gateway/_calls.py
+++ b/caroblug/gateway/_calls.py
@@ -7,6 +7,12 @@
 from caroblug.gateway._connecting import CONNECT_S
 from caroblug.gateway._context import Context
 from caroblug.gateway._crashes import Crashes
+from caroblug.gateway._exchange_results import (
+    ExchangeFailure,
+    FailureKind,
+    ReadTimeout,
+    ResponseHead,
+)
 from caroblug.gateway._fleet import seems_gone
 from caroblug.gateway._http_client import Exchange
 from caroblug.gateway._interfaces import (
@@ -15,7 +21,6 @@
     RunState,
     Sending,
 )
-from caroblug.gateway._outcomes import Broken, Failure, Head, Quiet
 from caroblug.gateway._pending import Answers, Pending
 from caroblug.gateway._repeats import Repeats
 
@@ -53,7 +58,7 @@
 
     next: Next
     reason: str = ""
-    head: Head | None = None
+    head: ResponseHead | None = None
     facts: AnswerFacts | None = None
     body: bytes = b""
 
@@ -144,10 +149,10 @@
         if problem is not None:
             return self._on_broken(pending, backend, problem)
         head = exchange.read_head(self._patience_s(pending))
-        if isinstance(head, Quiet):
+        if isinstance(head, ReadTimeout):
             pending.ran += 1
             return Tried(Next.SILENT, "no answer in time")
-        if isinstance(head, Broken):
+        if isinstance(head, ExchangeFailure):
             return self._on_broken(pending, backend, head)
         facts = context.dialect.decode_answer(head)
         context.fleet.on_answer(
@@ -159,19 +164,19 @@
         pending.ran += 1
         left_s = pending.left_ms(clock.now_ms()) / 1000
         body = exchange.read_body(left_s)
-        if isinstance(body, Quiet):
+        if isinstance(body, ReadTimeout):
             return Tried(Next.SILENT, "body not whole in time")
-        if isinstance(body, Broken):
+        if isinstance(body, ExchangeFailure):
             return Tried(Next.FAILED, f"body {body.failure.value}")
         if facts.request_id != pending.caller.id:
             # An answer to something else says nothing about this request.
-            return Tried(Next.FAILED, Failure.WRONG_ANSWER.value)
+            return Tried(Next.FAILED, FailureKind.WRONG_ANSWER.value)
         if not facts.genuine:
             return Tried(Next.FAILED, f"unproved answer {head.status}")
         return Tried(Next.ANSWERED, "", head, facts, body)
 
     def _on_broken(
-        self, pending: Pending, backend: BackendServer, broken: Broken
+        self, pending: Pending, backend: BackendServer, broken: ExchangeFailure
     ) -> Tried:
         context = self._context
         if seems_gone(broken.failure):
--- a/caroblug/gateway/_crashes.py
+++ b/caroblug/gateway/_crashes.py
@@ -9,9 +9,9 @@
 import hashlib
 
 from caroblug.core.limits import Suspicion, Suspicions, Verdict
+from caroblug.gateway._exchange_results import FailureKind
 from caroblug.gateway._fleet import Fleet
 from caroblug.gateway._http_client import Address, Exchange
-from caroblug.gateway._outcomes import Failure
 from caroblug.gateway._pending import Pending
 from caroblug.utils import Clock
 
@@ -64,7 +64,7 @@
         exchange = Exchange(address)
         problem = exchange.connect(_PROBE_S)
         exchange.close()
-        if problem is None or problem.failure is not Failure.REFUSED:
+        if problem is None or problem.failure is not FailureKind.REFUSED:
             return False
         self.on_ended(pending, name)
         return True
--- a/caroblug/gateway/_outcomes.py
+++ b/caroblug/gateway/_exchange_results.py
@@ -5,7 +5,7 @@
 import attrs
 
 
-class Failure(enum.Enum):
+class FailureKind(enum.Enum):
     """Why an exchange gave no whole answer."""
 
     CONNECT = "connect"
@@ -18,7 +18,7 @@
 
 
 @attrs.frozen
-class Broken:
+class ExchangeFailure:
     """An exchange that ended without a whole answer.
 
     Attributes:
@@ -27,22 +27,22 @@
             is it certain that the other side did no work.
     """
 
-    failure: Failure
+    failure: FailureKind
     sent: bool
 
 
 @attrs.frozen
-class Quiet:
+class ReadTimeout:
     """Nothing came in the time given; the connection still stands."""
 
 
 @attrs.frozen
-class End:
+class EndOfBody:
     """The answer is whole."""
 
 
 @attrs.frozen
-class Head:
+class ResponseHead:
     """Status line and headers of an answer.
 
     Attributes:
@@ -62,8 +62,8 @@
 
 
 @attrs.frozen
-class Answer:
+class HttpResponse:
     """A whole answer."""
 
-    head: Head
+    head: ResponseHead
     body: bytes
--- a/caroblug/gateway/_fleet.py
+++ b/caroblug/gateway/_fleet.py
@@ -16,8 +16,8 @@
     PathPart,
     choose_path,
 )
+from caroblug.gateway._exchange_results import FailureKind
 from caroblug.gateway._interfaces import BackendServer, Listing
-from caroblug.gateway._outcomes import Failure
 
 AVOID_MS = 500
 """How long a backend server that failed is left alone, in ms; doubled with
@@ -511,14 +511,14 @@
         return load + 0.1 * away + self._rng.random() * 0.05
 
 
-def seems_gone(failure: Failure) -> bool:
+def seems_gone(failure: FailureKind) -> bool:
     """Returns whether a failure says that the backend server may be gone."""
     return failure in (
-        Failure.CONNECT,
-        Failure.REFUSED,
-        Failure.RESET,
-        Failure.SILENT,
-        Failure.CUT_SHORT,
+        FailureKind.CONNECT,
+        FailureKind.REFUSED,
+        FailureKind.RESET,
+        FailureKind.SILENT,
+        FailureKind.CUT_SHORT,
     )
 
 
--- a/caroblug/gateway/_http_client.py
+++ b/caroblug/gateway/_http_client.py
@@ -13,13 +13,13 @@
 import httptools
 from gevent import socket
 
-from caroblug.gateway._outcomes import (
-    Answer,
-    Broken,
-    End,
-    Failure,
-    Head,
-    Quiet,
+from caroblug.gateway._exchange_results import (
+    EndOfBody,
+    ExchangeFailure,
+    FailureKind,
+    HttpResponse,
+    ReadTimeout,
+    ResponseHead,
 )
 
 Address = tuple[str, int]
@@ -58,7 +58,7 @@
         """Whether a byte of the request may have left."""
         return self._sent
 
-    def connect(self, timeout_s: float) -> Broken | None:
+    def connect(self, timeout_s: float) -> ExchangeFailure | None:
         """Opens the connection; returns what went wrong, if anything."""
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self._socket = sock
@@ -67,18 +67,18 @@
         try:
             sock.connect(self._address)
         except ConnectionRefusedError:
-            return self._broken(Failure.REFUSED)
+            return self._broken(FailureKind.REFUSED)
         except OSError:
-            return self._broken(Failure.CONNECT)
+            return self._broken(FailureKind.CONNECT)
         return None
 
     def send(
         self, data: bytes, timeout_s: float, bodiless: bool = False
-    ) -> Broken | None:
+    ) -> ExchangeFailure | None:
         """Sends the whole request.
 
         Args:
-            data: Head and body.
+            data: ResponseHead and body.
             timeout_s: Bound on the sending.
             bodiless: Whether the answer has no body whatever its head says,
                 as for HEAD.
@@ -91,34 +91,42 @@
         except OSError:
             # The other side may have answered before it read the body and
             # closed; what it said is then still to be read.
-            return None if self._has_bytes() else self._broken(Failure.RESET)
+            return (
+                None if self._has_bytes() else self._broken(FailureKind.RESET)
+            )
         return None
 
-    def read_head(self, timeout_s: float) -> Head | Quiet | Broken:
+    def read_head(
+        self, timeout_s: float
+    ) -> ResponseHead | ReadTimeout | ExchangeFailure:
         """Waits for the head of the answer."""
         while not self._head_done:
             problem = self._receive(timeout_s)
             if problem is not None:
                 return problem
         status = self._parser.get_status_code()
-        return Head(status, tuple(self._headers))
+        return ResponseHead(status, tuple(self._headers))
 
-    def read_piece(self, timeout_s: float) -> bytes | End | Quiet | Broken:
+    def read_piece(
+        self, timeout_s: float
+    ) -> bytes | EndOfBody | ReadTimeout | ExchangeFailure:
         """Waits for more of the body."""
         while not self._pieces:
             if self._done:
-                return End()
+                return EndOfBody()
             problem = self._receive(timeout_s)
             if problem is not None:
                 return problem
         return self._pieces.popleft()
 
-    def read_body(self, timeout_s: float) -> bytes | Quiet | Broken:
+    def read_body(
+        self, timeout_s: float
+    ) -> bytes | ReadTimeout | ExchangeFailure:
         """Reads the body to its end, with `timeout_s` for each piece."""
         pieces = []
         while True:
             piece = self.read_piece(timeout_s)
-            if isinstance(piece, End):
+            if isinstance(piece, EndOfBody):
                 return b"".join(pieces)
             if not isinstance(piece, bytes):
                 return piece
@@ -173,30 +181,32 @@
             return
         self._done = True
 
-    def _receive(self, timeout_s: float) -> Quiet | Broken | None:
+    def _receive(
+        self, timeout_s: float
+    ) -> ReadTimeout | ExchangeFailure | None:
         self._socket.settimeout(max(0.001, timeout_s))
         try:
             data = self._socket.recv(_RECEIVE_BYTES)
         except TimeoutError:
-            return Quiet()
+            return ReadTimeout()
         except OSError:
-            return self._broken(Failure.RESET)
+            return self._broken(FailureKind.RESET)
         if not data:
             return self._on_closed()
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
             if not self._done:
-                return self._broken(Failure.NOT_HTTP)
+                return self._broken(FailureKind.NOT_HTTP)
         return None
 
-    def _on_closed(self) -> Broken | None:
+    def _on_closed(self) -> ExchangeFailure | None:
         """Handles the other side's orderly end of the connection."""
         if self._head_done and not self._framed:
             self._done = True
             return None
         return self._broken(
-            Failure.CUT_SHORT if self._head_done else Failure.RESET
+            FailureKind.CUT_SHORT if self._head_done else FailureKind.RESET
         )
 
     def _has_bytes(self) -> bool:
@@ -206,9 +216,9 @@
         except OSError:
             return False
 
-    def _broken(self, failure: Failure) -> Broken:
+    def _broken(self, failure: FailureKind) -> ExchangeFailure:
         self.close()
-        return Broken(failure, self._sent)
+        return ExchangeFailure(failure, self._sent)
 
 
 def set_socket_options(sock) -> None:
@@ -226,12 +236,12 @@
     request: bytes,
     timeout_s: float,
     connect_s: float | None = None,
-) -> Answer | Broken:
+) -> HttpResponse | ExchangeFailure:
     """Sends a request and reads the whole answer.
 
     Args:
         address: Host and port.
-        request: Head and body.
+        request: ResponseHead and body.
         timeout_s: Bound on each wait; all of them together are bounded by
             `_MOST_WAITS` times that, so that an answer whose bytes come one
             by one has an end.
@@ -241,30 +251,30 @@
     try:
         with gevent.Timeout(timeout_s * _MOST_WAITS, False):
             return _fetch(exchange, request, timeout_s, connect_s or timeout_s)
-        return Broken(Failure.SILENT, exchange.sent)
+        return ExchangeFailure(FailureKind.SILENT, exchange.sent)
     finally:
         exchange.close()
 
 
 def _fetch(
     exchange: Exchange, request: bytes, timeout_s: float, connect_s: float
-) -> Answer | Broken:
+) -> HttpResponse | ExchangeFailure:
     problem = exchange.connect(connect_s)
     if problem is None:
         problem = exchange.send(request, timeout_s)
     if problem is not None:
         return problem
     head = exchange.read_head(timeout_s)
-    if isinstance(head, Quiet):
-        return Broken(Failure.SILENT, sent=True)
-    if isinstance(head, Broken):
+    if isinstance(head, ReadTimeout):
+        return ExchangeFailure(FailureKind.SILENT, sent=True)
+    if isinstance(head, ExchangeFailure):
         return head
     body = exchange.read_body(timeout_s)
-    if isinstance(body, Quiet):
-        return Broken(Failure.SILENT, sent=True)
-    if isinstance(body, Broken):
+    if isinstance(body, ReadTimeout):
+        return ExchangeFailure(FailureKind.SILENT, sent=True)
+    if isinstance(body, ExchangeFailure):
         return body
-    return Answer(head, body)
+    return HttpResponse(head, body)
 
 
 def format_request(
--- a/caroblug/gateway/_interfaces.py
+++ b/caroblug/gateway/_interfaces.py
@@ -9,8 +9,8 @@
 from caroblug.core.access import Configuration
 from caroblug.core.placement import LayerRange, Path
 from caroblug.gateway._caller_requests import RawRequest
+from caroblug.gateway._exchange_results import ResponseHead
 from caroblug.gateway._http_client import Address
-from caroblug.gateway._outcomes import Head
 
 
 @attrs.frozen
@@ -299,7 +299,7 @@
         """Returns the bytes to send to a backend server."""
 
     @abc.abstractmethod
-    def decode_answer(self, head: Head) -> AnswerFacts:
+    def decode_answer(self, head: ResponseHead) -> AnswerFacts:
         """Reads the head of a backend server's answer."""
 
     @abc.abstractmethod
--- a/caroblug/gateway/_liveness.py
+++ b/caroblug/gateway/_liveness.py
@@ -17,8 +17,8 @@
 
 from caroblug.core.placement import Engine
 from caroblug.gateway._context import Context
+from caroblug.gateway._exchange_results import FailureKind
 from caroblug.gateway._http_client import Exchange
-from caroblug.gateway._outcomes import Failure
 from caroblug.gateway._running import EngineUse, RunningStreams
 from caroblug.gateway._spacing import Spacing
 
@@ -57,7 +57,7 @@
 """Shortest time between two such questions to one engine."""
 
 
-def _connect(engine: Engine) -> Failure | None:
+def _connect(engine: Engine) -> FailureKind | None:
     """Opens and closes a connection; returns what went wrong, if anything."""
     exchange = Exchange(engine.address)
     problem = exchange.connect(_PROBE_S)
@@ -78,7 +78,7 @@
         self,
         context: Context,
         running: RunningStreams,
-        connect: Callable[[Engine], Failure | None] = _connect,
+        connect: Callable[[Engine], FailureKind | None] = _connect,
     ) -> None:
         self._context = context
         self._running = running
@@ -133,7 +133,7 @@
                     pass
                 exchange.close()
                 continue
-            if problem.failure is Failure.REFUSED:
+            if problem.failure is FailureKind.REFUSED:
                 self._running.on_engine_lost(engine, ended=True)
             self._wait_until_back(engine)
         del self._used_ms[engine.name]
@@ -176,18 +176,18 @@
         for engine in silent:
             failure = failures.get(engine.name)
             if failure is not None:
-                ended = failure is Failure.REFUSED
+                ended = failure is FailureKind.REFUSED
                 self._running.on_engine_lost(engine, ended)
 
-    def _probe(self, engine: Engine) -> Failure | None:
+    def _probe(self, engine: Engine) -> FailureKind | None:
         """Tries to connect; returns what went wrong if no try succeeds."""
         tries = [gevent.spawn(self._connect, engine) for _ in range(_PROBES)]
         gevent.joinall(tries)
         failures = [job.value for job in tries]
         if None in failures:
             return None
-        refused = Failure.REFUSED in failures
-        return Failure.REFUSED if refused else failures[0]
+        refused = FailureKind.REFUSED in failures
+        return FailureKind.REFUSED if refused else failures[0]
 
 
 def _silent_ms(use: EngineUse) -> float:
--- a/caroblug/gateway/_peer_calls.py
+++ b/caroblug/gateway/_peer_calls.py
@@ -5,10 +5,10 @@
 
 from caroblug.gateway._caller_requests import RawRequest
 from caroblug.gateway._context import Context
+from caroblug.gateway._exchange_results import ExchangeFailure
 from caroblug.gateway._http_client import Address, fetch, format_request
 from caroblug.gateway._http_server import Reply
 from caroblug.gateway._interfaces import Unavailable
-from caroblug.gateway._outcomes import Broken
 
 Handler = Callable[[dict], dict]
 
@@ -56,7 +56,7 @@
         ]
         request = format_request("POST", path, headers, _encode(message))
         answer = fetch(address, request, _CALL_S)
-        if isinstance(answer, Broken):
+        if isinstance(answer, ExchangeFailure):
             reason = answer.failure.value
             self._context.tallies.count("peer_calls_failed", reason=reason)
             return Unavailable(reason)
--- a/caroblug/gateway/_runs.py
+++ b/caroblug/gateway/_runs.py
@@ -4,8 +4,8 @@
 
 import attrs
 
+from caroblug.gateway._exchange_results import ResponseHead
 from caroblug.gateway._interfaces import AnswerFacts
-from caroblug.gateway._outcomes import Head
 
 
 class RunEnd(enum.Enum):
@@ -34,6 +34,6 @@
 
     end: RunEnd
     reason: str = ""
-    head: Head | None = None
+    head: ResponseHead | None = None
     facts: AnswerFacts | None = None
     body: bytes = b""
--- a/caroblug/gateway/_stream_run.py
+++ b/caroblug/gateway/_stream_run.py
@@ -4,13 +4,19 @@
 from caroblug.gateway._connecting import Connecting
 from caroblug.gateway._crashes import Crashes
 from caroblug.gateway._events import EventPace, Misordered
+from caroblug.gateway._exchange_results import (
+    EndOfBody,
+    ExchangeFailure,
+    FailureKind,
+    ReadTimeout,
+    ResponseHead,
+)
 from caroblug.gateway._interfaces import (
     AnswerFacts,
     RunState,
     Sending,
     Unavailable,
 )
-from caroblug.gateway._outcomes import Broken, End, Failure, Head, Quiet
 from caroblug.gateway._running import RunningStream, RunningStreams
 from caroblug.gateway._runs import RunEnd, RunResult
 from caroblug.gateway._stream_choice import PAUSE_MOST_MS, StreamChoice
@@ -88,7 +94,7 @@
             return head
         return self._read_answer(head)
 
-    def _send(self) -> Broken | None:
+    def _send(self) -> ExchangeFailure | None:
         """Sends the request to the first engine of the path."""
         state = self._state
         pending = state.pending
@@ -99,7 +105,7 @@
         if problem is not None:
             return problem
         for name in self._connecting.on_connected():
-            state.avoid_engine(name, Failure.CONNECT.value)
+            state.avoid_engine(name, FailureKind.CONNECT.value)
         pending.on_send(self._context)
         pending.tried.add(first)
         # From its first byte on it may run, whatever is heard of it.
@@ -107,18 +113,18 @@
         state.began_on.add(first)
         return state.exchange.send(self._encode(), left_s)
 
-    def _read_head(self) -> Head | RunResult:
+    def _read_head(self) -> ResponseHead | RunResult:
         while True:
             head = self._state.exchange.read_head(self._wait_s(_HEAD_LOOK_S))
-            if isinstance(head, Head):
+            if isinstance(head, ResponseHead):
                 return head
-            if isinstance(head, Broken):
+            if isinstance(head, ExchangeFailure):
                 return self._on_broken(head)
             result = self._on_quiet(_HEAD_LOOK_S)
             if result is not None:
                 return result
 
-    def _read_answer(self, head: Head) -> RunResult:
+    def _read_answer(self, head: ResponseHead) -> RunResult:
         state = self._state
         pending = state.pending
         first = state.path.first.name
@@ -135,20 +141,20 @@
             return self._read_failure(head, facts)
         return self._read_events(head, facts)
 
-    def _read_events(self, head: Head, facts: AnswerFacts) -> RunResult:
+    def _read_events(self, head: ResponseHead, facts: AnswerFacts) -> RunResult:
         state = self._state
         reply = state.pending.reply
         while True:
             piece = state.exchange.read_piece(self._wait_s(_PAUSE_LOOK_S))
-            if isinstance(piece, End):
+            if isinstance(piece, EndOfBody):
                 if state.events.mid_event:
                     return RunResult(RunEnd.LOST, "ended inside an event")
                 if not reply.begun:
                     reply.begin(head.status, list(facts.headers))
                 return RunResult(RunEnd.WHOLE)
-            if isinstance(piece, Broken):
+            if isinstance(piece, ExchangeFailure):
                 return self._on_broken(piece)
-            if isinstance(piece, Quiet):
+            if isinstance(piece, ReadTimeout):
                 result = self._on_quiet(_PAUSE_LOOK_S)
                 if result is not None:
                     return result
@@ -173,7 +179,9 @@
         state.pace.add(len(events), now_ms - state.last_event_ms)
         state.last_event_ms = now_ms
 
-    def _read_failure(self, head: Head, facts: AnswerFacts) -> RunResult:
+    def _read_failure(
+        self, head: ResponseHead, facts: AnswerFacts
+    ) -> RunResult:
         body = self._state.exchange.read_body(self._state.left_ms / 1000)
         if not isinstance(body, bytes):
             return RunResult(RunEnd.LOST, f"failure {head.status} not whole")
@@ -183,19 +191,19 @@
 
     # What went wrong.
 
-    def _on_broken(self, broken: Broken) -> RunResult:
+    def _on_broken(self, broken: ExchangeFailure) -> RunResult:
         state = self._state
         first = state.path.first
         if self._given_up:
             return RunResult(RunEnd.LOST, self._given_up)
         if not broken.sent:
-            if broken.failure is Failure.CONNECT:
+            if broken.failure is FailureKind.CONNECT:
                 self._connecting.on_unreached(first.name)
                 state.avoid.add(first.name)
             else:
                 state.avoid_engine(first.name, broken.failure.value)
             return RunResult(RunEnd.NOT_SENT, broken.failure.value)
-        if broken.failure is not Failure.NOT_HTTP:
+        if broken.failure is not FailureKind.NOT_HTTP:
             self._check_first()
         return RunResult(RunEnd.LOST, broken.failure.value)
 
@@ -212,7 +220,9 @@
             state.avoid_engine(first.name, f"report: {report.message}")
             self._crashes.on_lost(state.pending, first.name, first.address)
 
-    def _on_turned_away(self, head: Head, facts: AnswerFacts) -> RunResult:
+    def _on_turned_away(
+        self, head: ResponseHead, facts: AnswerFacts
+    ) -> RunResult:
         state = self._state
         reason = f"turned away with {head.status}"
         fleet = self._context.fleet
--- a/caroblug/gateway/tests/test_http_client.py
+++ b/caroblug/gateway/tests/test_http_client.py
@@ -3,8 +3,8 @@
 import gevent
 from gevent import server
 
-from caroblug.gateway import Broken, fetch, format_request
-from caroblug.gateway._outcomes import Failure
+from caroblug.gateway import ExchangeFailure, fetch, format_request
+from caroblug.gateway._exchange_results import FailureKind
 
 
 def test_answer_that_comes_byte_by_byte_without_an_end_is_given_up():
@@ -21,5 +21,5 @@
 
     answer = fetch(listener.address, request, timeout_s=0.02)
 
-    assert answer == Broken(Failure.SILENT, sent=True)
+    assert answer == ExchangeFailure(FailureKind.SILENT, sent=True)
     listener.stop(timeout=0)
--- a/caroblug/gateway/tests/test_liveness.py
+++ b/caroblug/gateway/tests/test_liveness.py
@@ -8,8 +8,8 @@
 
 from caroblug.core.placement import LayerRange, Path, PathPart
 from caroblug.core.placement.tests.fleets import make_engine
+from caroblug.gateway._exchange_results import FailureKind
 from caroblug.gateway._liveness import Liveness
-from caroblug.gateway._outcomes import Failure
 from caroblug.gateway._running import RunningStream, RunningStreams
 from caroblug.gateway.tests.fakes import make_context
 from caroblug.utils import ManualClock
@@ -59,7 +59,7 @@
         self.context = make_context(clock=self.clock)
         self.running = RunningStreams(self.context)
         self.streams = streams
-        self.answers: dict[str, Failure] = {}
+        self.answers: dict[str, FailureKind] = {}
         self.asked: list[str] = []
         self.liveness = Liveness(self.context, self.running, self._connect)
         # Watches need sockets; the engines count as watched.
@@ -82,7 +82,7 @@
     # Guards against late streams over an engine that has lost power.
     streams = [FakeStream(100_000, "x", "y") for _ in range(5)]
     site = Site(*streams)
-    site.answers["y"] = Failure.CONNECT
+    site.answers["y"] = FailureKind.CONNECT
 
     site.clock.advance(60)
     site.look()
@@ -146,7 +146,7 @@
     # Guards against an engine that is condemned for one lost packet.
     streams = [FakeStream(100_000, "x") for _ in range(5)]
     site = Site(*streams)
-    answers = itertools.cycle([Failure.CONNECT, None])
+    answers = itertools.cycle([FailureKind.CONNECT, None])
     site.liveness._connect = lambda engine: next(answers)
 
     site.clock.advance(100)
@@ -159,7 +159,7 @@
     # Guards against streams moved off every engine while the own link is full.
     streams = [FakeStream(100_000, "x", "y", "z") for _ in range(5)]
     site = Site(*streams)
-    site.answers = dict.fromkeys("xyz", Failure.CONNECT)
+    site.answers = dict.fromkeys("xyz", FailureKind.CONNECT)
 
     site.clock.advance(100)
     site.look()
@@ -172,7 +172,7 @@
     silent = [FakeStream(100_000, "x") for _ in range(5)]
     others = [FakeStream(100_100, "y"), FakeStream(100_100, "z")]
     site = Site(*silent, *others)
-    site.answers["x"] = Failure.CONNECT
+    site.answers["x"] = FailureKind.CONNECT
 
     site.clock.advance(100)
     site.look()
