--- a/caroblug/gateway/_calls.py
+++ b/caroblug/gateway/_calls.py
@@ -6,7 +6,7 @@
 
 from caroblug.gateway._connecting import CONNECT_S
 from caroblug.gateway._context import Context
-from caroblug.gateway._crashes import Crashes
+from caroblug.gateway._crash_suspicions import CrashSuspicions
 from caroblug.gateway._exchange_results import (
     ExchangeFailure,
     FailureKind,
@@ -22,7 +22,7 @@
     Sending,
 )
 from caroblug.gateway._pending import Answers, Pending
-from caroblug.gateway._repeats import Repeats
+from caroblug.gateway._shared_retry_budget import SharedRetryBudget
 
 _MOST_SENDS = 4
 """Sends of one request, those that were turned away included."""
@@ -69,15 +69,18 @@
     Args:
         context: What the gateway's parts share.
         crashes: Requests that crash backend servers.
-        repeats: Allows requests to be sent once more.
+        retry_budget: Allows requests to be sent once more.
     """
 
     def __init__(
-        self, context: Context, crashes: Crashes, repeats: Repeats
+        self,
+        context: Context,
+        crashes: CrashSuspicions,
+        retry_budget: SharedRetryBudget,
     ) -> None:
         self._context = context
         self._crashes = crashes
-        self._repeats = repeats
+        self._retry_budget = retry_budget
         self._answers = Answers(context)
 
     def serve(self, pending: Pending) -> None:
@@ -93,7 +96,7 @@
             )
             if backend is None:
                 break
-            if pending.sends and not self._repeats.take(
+            if pending.sends and not self._retry_budget.take(
                 pending.admitted.service.name
             ):
                 break
@@ -190,7 +193,7 @@
         if not broken.sent:
             return Tried(Next.NOT_SENT, broken.failure.value)
         pending.ran += 1
-        self._crashes.on_lost(pending, backend.name, backend.address)
+        self._crashes.on_connection_lost(pending, backend.name, backend.address)
         return Tried(Next.FAILED, broken.failure.value)
 
     def _encode(self, pending: Pending, backend: BackendServer) -> bytes:
--- a/caroblug/gateway/_crashes.py
+++ b/caroblug/gateway/_crash_suspicions.py
@@ -26,7 +26,7 @@
 _MOST_TOLD = 50
 
 
-class Crashes:
+class CrashSuspicions:
     """Suspicions of one gateway.
 
     Args:
@@ -48,7 +48,9 @@
         )
         return verdict is Verdict.QUARANTINED
 
-    def on_lost(self, pending: Pending, name: str, address: Address) -> bool:
+    def on_connection_lost(
+        self, pending: Pending, name: str, address: Address
+    ) -> bool:
         """Suspects a request whose connection broke, if a process ended.
 
         Args:
@@ -66,10 +68,10 @@
         exchange.close()
         if problem is None or problem.failure is not FailureKind.REFUSED:
             return False
-        self.on_ended(pending, name)
+        self.on_process_ended(pending, name)
         return True
 
-    def on_ended(self, pending: Pending, name: str) -> None:
+    def on_process_ended(self, pending: Pending, name: str) -> None:
         """Suspects a request that was on a backend server as it ended."""
         self._suspicions.on_suspicion(
             Suspicion(
@@ -93,7 +95,7 @@
         listed = self._fleet.listing.backends.get(name)
         return f"{name}/{listed.started_ms if listed else 0}"
 
-    def tell(self) -> list[list]:
+    def export(self) -> list[list]:
         """Returns what other gateways should know."""
         known = self._suspicions.suspected(self._clock.now_ms())
         return [
@@ -101,7 +103,7 @@
             for s in known[-_MOST_TOLD:]
         ]
 
-    def hear(self, told: list) -> None:
+    def merge(self, told: list) -> None:
         """Takes what another gateway knows."""
         now_ms = self._clock.now_ms()
         for print_, account, crash, remaining_ms in told:
--- a/caroblug/gateway/_gateway.py
+++ b/caroblug/gateway/_gateway.py
@@ -12,7 +12,7 @@
 from caroblug.gateway._caller_requests import RawRequest
 from caroblug.gateway._calls import Calls
 from caroblug.gateway._context import Context
-from caroblug.gateway._crashes import Crashes
+from caroblug.gateway._crash_suspicions import CrashSuspicions
 from caroblug.gateway._decision_log import DecisionLog
 from caroblug.gateway._fleet import Fleet
 from caroblug.gateway._http_server import CallerServer, Reply
@@ -28,9 +28,9 @@
 )
 from caroblug.gateway._placement import Placement
 from caroblug.gateway._rechecks import Rechecks
-from caroblug.gateway._repeats import LEND_PATH, Repeats
 from caroblug.gateway._running import RunningStreams
 from caroblug.gateway._settings import GatewaySettings, SettingsProblem
+from caroblug.gateway._shared_retry_budget import LEND_PATH, SharedRetryBudget
 from caroblug.gateway._slowness import Slowness
 from caroblug.gateway._streams import Streams
 from caroblug.gateway._tallies import Tallies
@@ -83,20 +83,22 @@
     ) -> None:
         self._context = context
         self._reload = reload
-        self._crashes = Crashes(context.clock, context.fleet)
+        self._crashes = CrashSuspicions(context.clock, context.fleet)
         self._peers = Peers(context, registry, self._crashes)
         self._watches = Watches(context, registry, self._peers)
         self._placement = Placement(context, registry, self._peers)
         self._rechecks = Rechecks(context)
         self._answers = Answers(context)
-        self._repeats = Repeats(context, self._peers)
-        self._peers.calls.serve(LEND_PATH, self._repeats.answer_loan)
-        self._calls = Calls(context, self._crashes, self._repeats)
+        self._retry_budget = SharedRetryBudget(context, self._peers)
+        self._peers.calls.serve(
+            LEND_PATH, self._retry_budget.handle_loan_request
+        )
+        self._calls = Calls(context, self._crashes, self._retry_budget)
         self._running = RunningStreams(context)
         self._liveness = Liveness(context, self._running)
         self._slowness = Slowness(context, self._running)
         self._streams = Streams(
-            context, self._crashes, self._running, self._repeats
+            context, self._crashes, self._running, self._retry_budget
         )
         self._leaving = event.Event()
         self._settings_problem = ""
--- a/caroblug/gateway/_peers.py
+++ b/caroblug/gateway/_peers.py
@@ -12,7 +12,7 @@
 
 from caroblug.core.placement import LayerRange
 from caroblug.gateway._context import Context
-from caroblug.gateway._crashes import Crashes
+from caroblug.gateway._crash_suspicions import CrashSuspicions
 from caroblug.gateway._holder_watch import UNKNOWN_MS, HolderWatch
 from caroblug.gateway._http_client import Address
 from caroblug.gateway._interfaces import Member, Registry, Unavailable
@@ -78,7 +78,7 @@
     """
 
     def __init__(
-        self, context: Context, registry: Registry, crashes: Crashes
+        self, context: Context, registry: Registry, crashes: CrashSuspicions
     ) -> None:
         self._context = context
         self._crashes = crashes
@@ -250,7 +250,7 @@
             "paces": context.fleet.recent_paces(now_ms),
             "leaving": context.fleet.recently_leaving(now_ms),
             "unanswered": context.fleet.uncertain(now_ms),
-            "crashes": self._crashes.tell(),
+            "crashes": self._crashes.export(),
             "tenure": self.tenure.value,
             "holder_age_ms": self._holder_age_ms(now_ms),
         }
@@ -353,7 +353,7 @@
             str(service): int(left)
             for service, left in message.get("repeats", {}).items()
         }
-        self._crashes.hear(message["crashes"])
+        self._crashes.merge(message["crashes"])
         now_ms = self._context.clock.now_ms()
         before = self._tenures.get(name)
         self._tenures[name] = TenureState(message["tenure"])
--- a/caroblug/gateway/_repeats.py
+++ b/caroblug/gateway/_shared_retry_budget.py
@@ -24,7 +24,7 @@
 """Pause after a round in which nobody lent anything."""
 
 
-class Repeats:
+class SharedRetryBudget:
     """Allows requests to be sent once more.
 
     Args:
@@ -49,7 +49,7 @@
                 return False
         return True
 
-    def answer_loan(self, message: dict) -> dict:
+    def handle_loan_request(self, message: dict) -> dict:
         """Answers another gateway that asks for repeats."""
         context = self._context
         lent = context.repeats.lend(
--- a/caroblug/gateway/_stream_choice.py
+++ b/caroblug/gateway/_stream_choice.py
@@ -3,9 +3,9 @@
 import gevent
 
 from caroblug.core.placement import NoPath, Path
-from caroblug.gateway._crashes import Crashes
-from caroblug.gateway._repeats import Repeats
+from caroblug.gateway._crash_suspicions import CrashSuspicions
 from caroblug.gateway._runs import RunEnd, RunResult
+from caroblug.gateway._shared_retry_budget import SharedRetryBudget
 from caroblug.gateway._stream_state import StreamState
 
 PAUSE_MOST_MS = 1400
@@ -25,15 +25,18 @@
     Args:
         state: The stream.
         crashes: Requests that crash backend servers.
-        repeats: Allows requests to be sent once more.
+        retry_budget: Allows requests to be sent once more.
     """
 
     def __init__(
-        self, state: StreamState, crashes: Crashes, repeats: Repeats
+        self,
+        state: StreamState,
+        crashes: CrashSuspicions,
+        retry_budget: SharedRetryBudget,
     ) -> None:
         self._state = state
         self._crashes = crashes
-        self._repeats = repeats
+        self._retry_budget = retry_budget
         self._has_repeat = False
 
     def choose_path(self) -> Path | NoPath:
@@ -90,7 +93,7 @@
         """Takes a repeat unless one is kept; returns whether there is one."""
         if not self._has_repeat:
             service = self._state.pending.admitted.service.name
-            self._has_repeat = self._repeats.take(service)
+            self._has_repeat = self._retry_budget.take(service)
         return self._has_repeat
 
     def on_run(self) -> None:
--- a/caroblug/gateway/_stream_run.py
+++ b/caroblug/gateway/_stream_run.py
@@ -2,7 +2,7 @@
 
 from caroblug.core.placement import Path
 from caroblug.gateway._connecting import Connecting
-from caroblug.gateway._crashes import Crashes
+from caroblug.gateway._crash_suspicions import CrashSuspicions
 from caroblug.gateway._events import EventPace, Misordered
 from caroblug.gateway._exchange_results import (
     EndOfBody,
@@ -48,7 +48,7 @@
         state: StreamState,
         choice: StreamChoice,
         repair: StreamRepair,
-        crashes: Crashes,
+        crashes: CrashSuspicions,
         running: RunningStreams,
     ) -> None:
         self._state = state
@@ -218,7 +218,9 @@
         report = self._context.dialect.read_report(first.address)
         if isinstance(report, Unavailable):
             state.avoid_engine(first.name, f"report: {report.message}")
-            self._crashes.on_lost(state.pending, first.name, first.address)
+            self._crashes.on_connection_lost(
+                state.pending, first.name, first.address
+            )
 
     def _on_turned_away(
         self, head: ResponseHead, facts: AnswerFacts
@@ -288,7 +290,9 @@
             # It may be dead or have given up its layers: its report tells.
             state.avoid.add(engine.name)
             self._context.ask_about.add(engine.name)
-            self._crashes.on_lost(state.pending, engine.name, engine.address)
+            self._crashes.on_connection_lost(
+                state.pending, engine.name, engine.address
+            )
         if not dead or dead[0].name == state.path.first.name:
             return RunResult(RunEnd.LOST, "stalled")
         problem = self._repair.replace(dead[0].name)
--- a/caroblug/gateway/_streams.py
+++ b/caroblug/gateway/_streams.py
@@ -11,11 +11,11 @@
 
 from caroblug.core.placement import NoPath, Path
 from caroblug.gateway._context import Context
-from caroblug.gateway._crashes import Crashes
+from caroblug.gateway._crash_suspicions import CrashSuspicions
 from caroblug.gateway._pending import NO_ENGINES_MS, Answers, Pending
-from caroblug.gateway._repeats import Repeats
 from caroblug.gateway._running import RunningStream, RunningStreams
 from caroblug.gateway._runs import RunEnd, RunResult
+from caroblug.gateway._shared_retry_budget import SharedRetryBudget
 from caroblug.gateway._stream_choice import StreamChoice
 from caroblug.gateway._stream_repair import StreamRepair
 from caroblug.gateway._stream_run import StreamRuns
@@ -35,26 +35,26 @@
         context: What the gateway's parts share.
         crashes: Requests that crash backend servers.
         running: Takes streams while they run.
-        repeats: Allows requests to be sent once more.
+        retry_budget: Allows requests to be sent once more.
     """
 
     def __init__(
         self,
         context: Context,
-        crashes: Crashes,
+        crashes: CrashSuspicions,
         running: RunningStreams,
-        repeats: Repeats,
+        retry_budget: SharedRetryBudget,
     ) -> None:
         self._context = context
         self._crashes = crashes
         self._running = running
-        self._repeats = repeats
+        self._retry_budget = retry_budget
         self._answers = Answers(context)
 
     def serve(self, pending: Pending) -> None:
         """Answers one request, at the end of its time at the latest."""
         state = make_stream_state(self._context, pending)
-        choice = StreamChoice(state, self._crashes, self._repeats)
+        choice = StreamChoice(state, self._crashes, self._retry_budget)
         repair = StreamRepair(state, choice)
         runs = StreamRuns(state, choice, repair, self._crashes, self._running)
         _Stream(
@@ -71,7 +71,7 @@
         choice: StreamChoice,
         repair: StreamRepair,
         runs: StreamRuns,
-        crashes: Crashes,
+        crashes: CrashSuspicions,
         answers: Answers,
     ) -> None:
         self._state = state
@@ -141,7 +141,7 @@
         state.lost = name
         state.avoid.add(name)
         if ended:
-            self._crashes.on_ended(state.pending, name)
+            self._crashes.on_process_ended(state.pending, name)
         problem = ""
         if name == state.path.first.name:
             problem = "first engine is lost"
--- a/caroblug/gateway/tests/test_placement.py
+++ b/caroblug/gateway/tests/test_placement.py
@@ -5,7 +5,7 @@
 
 from caroblug.core.placement import LayerRange
 from caroblug.gateway import OrderOutcome, Tenure, Unavailable
-from caroblug.gateway._crashes import Crashes
+from caroblug.gateway._crash_suspicions import CrashSuspicions
 from caroblug.gateway._peers import Peers, TenureState
 from caroblug.gateway._placement import Placement
 from caroblug.gateway.tests.fakes import FakeRegistry, make_context
@@ -16,7 +16,9 @@
 def make_placement(name="g1", clock=None):
     context = make_context(name, clock)
     registry = FakeRegistry()
-    peers = Peers(context, registry, Crashes(context.clock, context.fleet))
+    peers = Peers(
+        context, registry, CrashSuspicions(context.clock, context.fleet)
+    )
     return context, registry, peers, Placement(context, registry, peers)
 
 
--- a/caroblug/gateway/tests/test_repeats.py
+++ b/caroblug/gateway/tests/test_shared_retry_budget.py
@@ -7,7 +7,7 @@
 from caroblug.core.limits import RepeatWindow
 from caroblug.gateway._interfaces import Member, Unavailable
 from caroblug.gateway._peers import TenureState
-from caroblug.gateway._repeats import LEND_PATH, Repeats
+from caroblug.gateway._shared_retry_budget import LEND_PATH, SharedRetryBudget
 from caroblug.gateway.tests.test_placement import make_placement, tell
 from caroblug.utils import ManualClock
 
@@ -21,7 +21,7 @@
 
     def __init__(self) -> None:
         self.clock = ManualClock(100_000)
-        self.repeats: dict[str, Repeats] = {}
+        self.repeats: dict[str, SharedRetryBudget] = {}
         self.windows: dict[str, RepeatWindow] = {}
         self.cut_off: set[str] = set()
         self._peers = {}
@@ -35,14 +35,14 @@
         context.fleet.loads.gateways = GATEWAYS
         self._peers[name] = peers
         self.windows[name] = context.repeats
-        self.repeats[name] = Repeats(context, peers)
+        self.repeats[name] = SharedRetryBudget(context, peers)
         peers.call = self.call
 
     def call(self, name: str, path: str, message: dict):
         if name in self.cut_off:
             return Unavailable("cut off")
         assert path == LEND_PATH
-        return self.repeats[name].answer_loan(message)
+        return self.repeats[name].handle_loan_request(message)
 
     def tell(self) -> None:
         """Lets every gateway hear of every other one."""
