--- a/caroblug/gateway/_crash_suspicions.py
+++ b/caroblug/gateway/_crash_suspicions.py
@@ -12,7 +12,7 @@
 from caroblug.gateway._exchange_results import FailureKind
 from caroblug.gateway._fleet import Fleet
 from caroblug.gateway._http_client import Address, Exchange
-from caroblug.gateway._pending import Pending
+from caroblug.gateway._pending_request import PendingRequest
 from caroblug.utils import Clock
 
 QUARANTINE_CRASHES = 3
@@ -39,7 +39,7 @@
         self._fleet = fleet
         self._suspicions = Suspicions(QUARANTINE_CRASHES)
 
-    def is_quarantined(self, pending: Pending) -> bool:
+    def is_quarantined(self, pending: PendingRequest) -> bool:
         """Returns whether a request may not run."""
         if not len(self._suspicions):
             return False
@@ -49,7 +49,7 @@
         return verdict is Verdict.QUARANTINED
 
     def on_connection_lost(
-        self, pending: Pending, name: str, address: Address
+        self, pending: PendingRequest, name: str, address: Address
     ) -> bool:
         """Suspects a request whose connection broke, if a process ended.
 
@@ -71,7 +71,7 @@
         self.on_process_ended(pending, name)
         return True
 
-    def on_process_ended(self, pending: Pending, name: str) -> None:
+    def on_process_ended(self, pending: PendingRequest, name: str) -> None:
         """Suspects a request that was on a backend server as it ended."""
         self._suspicions.on_suspicion(
             Suspicion(
@@ -120,7 +120,7 @@
             )
 
 
-def fingerprint(pending: Pending) -> str:
+def fingerprint(pending: PendingRequest) -> str:
     """Returns what equal requests of one client account have in common."""
     digest = hashlib.blake2b(digest_size=12)
     for part in (
--- a/caroblug/gateway/_gateway.py
+++ b/caroblug/gateway/_gateway.py
@@ -10,29 +10,29 @@
 from caroblug.core.access import DenialReason, Denied, RouteKind, admit
 from caroblug.core.limits import RepeatWindow, RetryAfter
 from caroblug.gateway._caller_requests import RawRequest
-from caroblug.gateway._calls import Calls
 from caroblug.gateway._context import Context
 from caroblug.gateway._crash_suspicions import CrashSuspicions
 from caroblug.gateway._decision_log import DecisionLog
 from caroblug.gateway._fleet import Fleet
-from caroblug.gateway._http_server import CallerServer, Reply
+from caroblug.gateway._http_server import HttpServer, Reply
 from caroblug.gateway._interfaces import CallerRequest, Dialect, Registry
 from caroblug.gateway._liveness import Liveness
 from caroblug.gateway._peers import Peers
-from caroblug.gateway._pending import (
-    LEAVING_MS,
-    QUARANTINE_MS,
-    UNREADY_MS,
-    Answers,
-    Pending,
+from caroblug.gateway._pending_request import (
+    LEAVING_RETRY_AFTER_MS,
+    QUARANTINE_RETRY_AFTER_MS,
+    UNREADY_RETRY_AFTER_MS,
+    GatewayResponses,
+    PendingRequest,
 )
 from caroblug.gateway._placement import Placement
+from caroblug.gateway._plain_calls import PlainCallHandler
 from caroblug.gateway._rechecks import Rechecks
-from caroblug.gateway._running import RunningStreams
+from caroblug.gateway._running_streams import RunningStreams
 from caroblug.gateway._settings import GatewaySettings, SettingsProblem
 from caroblug.gateway._shared_retry_budget import LEND_PATH, SharedRetryBudget
 from caroblug.gateway._slowness import Slowness
-from caroblug.gateway._streams import Streams
+from caroblug.gateway._streams import StreamHandler
 from caroblug.gateway._tallies import Tallies
 from caroblug.gateway._watches import Watches
 from caroblug.utils import BoottimeClock
@@ -88,16 +88,18 @@
         self._watches = Watches(context, registry, self._peers)
         self._placement = Placement(context, registry, self._peers)
         self._rechecks = Rechecks(context)
-        self._answers = Answers(context)
+        self._responses = GatewayResponses(context)
         self._retry_budget = SharedRetryBudget(context, self._peers)
         self._peers.calls.serve(
             LEND_PATH, self._retry_budget.handle_loan_request
         )
-        self._calls = Calls(context, self._crashes, self._retry_budget)
+        self._calls = PlainCallHandler(
+            context, self._crashes, self._retry_budget
+        )
         self._running = RunningStreams(context)
         self._liveness = Liveness(context, self._running)
         self._slowness = Slowness(context, self._running)
-        self._streams = Streams(
+        self._streams = StreamHandler(
             context, self._crashes, self._running, self._retry_budget
         )
         self._leaving = event.Event()
@@ -190,8 +192,8 @@
             settings.retry_ratio, settings.retry_extra, settings.retry_window_ms
         )
 
-    def _listen(self, address, handler) -> CallerServer:
-        return CallerServer(
+    def _listen(self, address, handler) -> HttpServer:
+        return HttpServer(
             address, handler, self._context.limits, self._context.clock
         )
 
@@ -208,7 +210,7 @@
         """
         context = self._context
         context.log.write("program.leaving", busy=self._callers.busy)
-        self._callers.close_after_answers()
+        self._callers.close_after_responses()
         gevent.spawn(self._placement.stop)
         while context.clock.now_ms() < self._exit_ms():
             if context.clock.now_ms() - self._left_ms > _NOTICED_MS:
@@ -241,14 +243,16 @@
         budget_ms = decision.route.timeout_ms
         if caller.deadline_ms is not None:
             budget_ms = min(budget_ms, caller.deadline_ms)
-        pending = Pending(
+        pending = PendingRequest(
             request, caller, decision, reply, request.began_ms + budget_ms
         )
         if self._comes_too_late(pending):
-            self._answers.refuse(pending, "leaving", LEAVING_MS)
+            self._responses.refuse(pending, "leaving", LEAVING_RETRY_AFTER_MS)
             return
         if self._crashes.is_quarantined(pending):
-            self._answers.refuse(pending, "quarantined", QUARANTINE_MS)
+            self._responses.refuse(
+                pending, "quarantined", QUARANTINE_RETRY_AFTER_MS
+            )
             return
         if decision.route.kind is RouteKind.STREAMING and (
             decision.service.model is not None
@@ -257,7 +261,7 @@
         else:
             self._calls.serve(pending)
 
-    def _comes_too_late(self, pending: Pending) -> bool:
+    def _comes_too_late(self, pending: PendingRequest) -> bool:
         """Returns whether the exit would cut a request that begins now."""
         if not self._leaving.is_set():
             return False
@@ -282,7 +286,7 @@
         context = self._context
         after_ms = None
         if status == 503:
-            after_ms = context.retry_after.ms(UNREADY_MS)
+            after_ms = context.retry_after.ms(UNREADY_RETRY_AFTER_MS)
         known = context.configuration
         context.tallies.count("denied", status=str(status), reason=reason)
         context.log.write(
--- a/caroblug/gateway/_http_client.py
+++ b/caroblug/gateway/_http_client.py
@@ -107,7 +107,7 @@
         status = self._parser.get_status_code()
         return ResponseHead(status, tuple(self._headers))
 
-    def read_piece(
+    def read_chunk(
         self, timeout_s: float
     ) -> bytes | EndOfBody | ReadTimeout | ExchangeFailure:
         """Waits for more of the body."""
@@ -125,7 +125,7 @@
         """Reads the body to its end, with `timeout_s` for each piece."""
         pieces = []
         while True:
-            piece = self.read_piece(timeout_s)
+            piece = self.read_chunk(timeout_s)
             if isinstance(piece, EndOfBody):
                 return b"".join(pieces)
             if not isinstance(piece, bytes):
--- a/caroblug/gateway/_http_server.py
+++ b/caroblug/gateway/_http_server.py
@@ -41,7 +41,7 @@
 }
 
 
-class CallerGoneError(Exception):
+class CallerDisconnectedError(Exception):
     """The caller has closed its connection or takes no more bytes."""
 
 
@@ -94,7 +94,7 @@
         self._begun = True
         self._write(self._head(status, headers + framing))
 
-    def send_piece(self, data: bytes) -> None:
+    def send_chunk(self, data: bytes) -> None:
         """Sends a piece of the body."""
         self._write(b"%x\r\n%b\r\n" % (len(data), data))
 
@@ -116,11 +116,11 @@
             self._socket.sendall(data)
         except OSError as error:
             self._keep = False
-            raise CallerGoneError(str(error)) from error
+            raise CallerDisconnectedError(str(error)) from error
 
 
 @attrs.frozen
-class Idle:
+class IdleTimeout:
     """A connection that has waited too long for a request."""
 
 
@@ -219,7 +219,7 @@
         else:
             self._over = True
 
-    def _find_overdue(self) -> BadRequest | Idle | None:
+    def _find_overdue(self) -> BadRequest | IdleTimeout | None:
         """Returns which of the caller's time limits is over, if any."""
         if self.busy or self._over:
             return None
@@ -227,7 +227,7 @@
         limits = self._limits()
         if not self._reader.partial and not self._reader.in_head:
             idle_ms = now_ms - self._idle_since_ms
-            return Idle() if idle_ms > limits.idle_ms else None
+            return IdleTimeout() if idle_ms > limits.idle_ms else None
         took_ms = now_ms - self._reader.began_ms
         if self._reader.in_head:
             late = took_ms > limits.header_ms
@@ -261,7 +261,7 @@
             request = self._waiting.popleft()
             reply = Reply(self._socket, request, self._closing())
             # A caller that is gone needs no answer; its connection ends.
-            with contextlib.suppress(CallerGoneError):
+            with contextlib.suppress(CallerDisconnectedError):
                 self._handler(request, reply)
             if not reply.reusable:
                 self._over = True
@@ -285,7 +285,7 @@
             self._worker.join()
         request = RawRequest("GET", "", [], b"", False, 0)
         reply = Reply(self._socket, request, closing=True)
-        with contextlib.suppress(CallerGoneError):
+        with contextlib.suppress(CallerDisconnectedError):
             reply.send(problem.status, [], problem.message.encode())
         self._over = True
         self._shut()
@@ -299,7 +299,7 @@
     return server.StreamServer(socket.socket(fileno=held.detach()), serve)
 
 
-class CallerServer:
+class HttpServer:
     """Listens for callers.
 
     Args:
@@ -341,7 +341,7 @@
         """Begins to answer."""
         self._server.start()
 
-    def close_after_answers(self) -> None:
+    def close_after_responses(self) -> None:
         """Lets each connection end after its answer."""
         self._closing = True
 
--- a/caroblug/gateway/_liveness.py
+++ b/caroblug/gateway/_liveness.py
@@ -19,8 +19,8 @@
 from caroblug.gateway._context import Context
 from caroblug.gateway._exchange_results import FailureKind
 from caroblug.gateway._http_client import Exchange
-from caroblug.gateway._running import EngineUse, RunningStreams
-from caroblug.gateway._spacing import Spacing
+from caroblug.gateway._running_streams import EngineUse, RunningStreams
+from caroblug.gateway._throttle import Throttle
 
 _CONNECT_S = 0.25
 _LOOK_S = 1.0
@@ -84,7 +84,7 @@
         self._running = running
         self._connect = connect
         self._used_ms: dict[str, int] = {}
-        self._asked = Spacing(_ASK_AGAIN_MS)
+        self._asked = Throttle(_ASK_AGAIN_MS)
 
     def run(self) -> None:
         """Looks after running streams until the process ends."""
--- a/caroblug/gateway/_pending.py
+++ b/caroblug/gateway/_pending_request.py
@@ -9,28 +9,28 @@
 from caroblug.gateway._interfaces import CallerRequest
 from caroblug.gateway._timeliness import Timeliness
 
-NO_ROOM_MS = 700
+NO_CAPACITY_RETRY_AFTER_MS = 700
 """Mean time after which a request that found no room is asked to come back:
 a third of what a caller of a two-second objective may wait."""
 
-NO_ENGINES_MS = 2500
+NO_ENGINES_RETRY_AFTER_MS = 2500
 """The same where layers are held by nobody: the time in which a lost engine
 is missed, its layers are ordered elsewhere and loaded."""
 
-LEAVING_MS = 150
+LEAVING_RETRY_AFTER_MS = 150
 """The same for a gateway that leaves: another one takes the request."""
 
-QUARANTINE_MS = 60_000
+QUARANTINE_RETRY_AFTER_MS = 60_000
 """The same for a request that has crashed backend servers; sooner it would
 only be refused again."""
 
-UNREADY_MS = 400
+UNREADY_RETRY_AFTER_MS = 400
 """The same for a gateway that doesn't know the configuration yet; it reads it
 within some tens of ms of its start."""
 
 
 @attrs.define
-class Pending:
+class PendingRequest:
     """One request, with what was decided about it so far.
 
     Attributes:
@@ -74,7 +74,7 @@
         return account.name if account else None
 
 
-class Answers:
+class GatewayResponses:
     """Answers that the gateway gives by itself.
 
     Args:
@@ -85,7 +85,10 @@
         self._context = context
 
     def refuse(
-        self, pending: Pending, reason: str, mean_ms: int = NO_ROOM_MS
+        self,
+        pending: PendingRequest,
+        reason: str,
+        mean_ms: int = NO_CAPACITY_RETRY_AFTER_MS,
     ) -> None:
         """Answers that the request has not run, and when to come back.
 
@@ -102,12 +105,16 @@
         after_ms = self._context.retry_after.ms(mean_ms)
         self._end(pending, 503, reason, after_ms)
 
-    def fail(self, pending: Pending, status: int, reason: str) -> None:
+    def fail(self, pending: PendingRequest, status: int, reason: str) -> None:
         """Answers 502 or 504: the request may have run."""
         self._end(pending, status, reason, None)
 
     def _end(
-        self, pending: Pending, status: int, reason: str, after_ms: int | None
+        self,
+        pending: PendingRequest,
+        status: int,
+        reason: str,
+        after_ms: int | None,
     ) -> None:
         headers = self._context.dialect.own_headers(pending.caller, after_ms)
         self.log(pending, status, reason)
@@ -115,7 +122,7 @@
 
     def log(
         self,
-        pending: Pending,
+        pending: PendingRequest,
         status: int,
         reason: str = "",
         cut: bool = False,
@@ -155,7 +162,7 @@
         )
 
 
-def _describe(pending: Pending) -> dict[str, str | int | None]:
+def _describe(pending: PendingRequest) -> dict[str, str | int | None]:
     """Returns what a line says of the times of a stream's events."""
     times = pending.timeliness
     if times is None:
--- a/caroblug/gateway/_calls.py
+++ b/caroblug/gateway/_plain_calls.py
@@ -21,7 +21,7 @@
     RunState,
     Sending,
 )
-from caroblug.gateway._pending import Answers, Pending
+from caroblug.gateway._pending_request import GatewayResponses, PendingRequest
 from caroblug.gateway._shared_retry_budget import SharedRetryBudget
 
 _MOST_SENDS = 4
@@ -63,7 +63,7 @@
     body: bytes = b""
 
 
-class Calls:
+class PlainCallHandler:
     """Answers calls.
 
     Args:
@@ -81,9 +81,9 @@
         self._context = context
         self._crashes = crashes
         self._retry_budget = retry_budget
-        self._answers = Answers(context)
+        self._responses = GatewayResponses(context)
 
-    def serve(self, pending: Pending) -> None:
+    def serve(self, pending: PendingRequest) -> None:
         """Answers one call, at the end of its time at the latest."""
         clock = self._context.clock
         repeatable = pending.admitted.route.repeatable
@@ -116,7 +116,7 @@
                 break
         self._give_up(pending, last)
 
-    def _try(self, pending: Pending, backend: BackendServer) -> Tried:
+    def _try(self, pending: PendingRequest, backend: BackendServer) -> Tried:
         """Sends the call to one backend server and waits for its answer."""
         context = self._context
         pending.tried.add(backend.name)
@@ -139,7 +139,10 @@
         return tried
 
     def _exchange(
-        self, pending: Pending, backend: BackendServer, exchange: Exchange
+        self,
+        pending: PendingRequest,
+        backend: BackendServer,
+        exchange: Exchange,
     ) -> Tried:
         context = self._context
         clock = context.clock
@@ -179,7 +182,10 @@
         return Tried(Next.ANSWERED, "", head, facts, body)
 
     def _on_broken(
-        self, pending: Pending, backend: BackendServer, broken: ExchangeFailure
+        self,
+        pending: PendingRequest,
+        backend: BackendServer,
+        broken: ExchangeFailure,
     ) -> Tried:
         context = self._context
         if seems_gone(broken.failure):
@@ -196,7 +202,7 @@
         self._crashes.on_connection_lost(pending, backend.name, backend.address)
         return Tried(Next.FAILED, broken.failure.value)
 
-    def _encode(self, pending: Pending, backend: BackendServer) -> bytes:
+    def _encode(self, pending: PendingRequest, backend: BackendServer) -> bytes:
         sending = Sending(
             backend=backend.name,
             left_ms=pending.left_ms(self._context.clock.now_ms()),
@@ -208,17 +214,17 @@
             pending.request, pending.caller, sending
         )
 
-    def _bodiless(self, pending: Pending) -> bool:
+    def _bodiless(self, pending: PendingRequest) -> bool:
         return pending.request.method == "HEAD"
 
-    def _patience_s(self, pending: Pending) -> float:
+    def _patience_s(self, pending: PendingRequest) -> float:
         left_s = pending.left_ms(self._context.clock.now_ms()) / 1000
         route = pending.admitted.route
         if route.repeatable and pending.ran + 1 < route.max_attempts:
             return left_s * _PATIENCE
         return left_s
 
-    def _worth_another(self, pending: Pending, tried: Tried) -> bool:
+    def _worth_another(self, pending: PendingRequest, tried: Tried) -> bool:
         """Returns whether a failure of the backend server is tried again."""
         route = pending.admitted.route
         return (
@@ -227,20 +233,20 @@
             and pending.ran < route.max_attempts
         )
 
-    def _pass_on(self, pending: Pending, tried: Tried) -> None:
+    def _pass_on(self, pending: PendingRequest, tried: Tried) -> None:
         status = tried.head.status
-        self._answers.log(pending, status)
+        self._responses.log(pending, status)
         pending.reply.send(status, list(tried.facts.headers), tried.body)
 
-    def _give_up(self, pending: Pending, last: Tried) -> None:
+    def _give_up(self, pending: PendingRequest, last: Tried) -> None:
         if last.next is Next.ANSWERED:
             self._pass_on(pending, last)
         elif not pending.ran:
-            self._answers.refuse(pending, last.reason)
+            self._responses.refuse(pending, last.reason)
         elif last.next is Next.SILENT:
-            self._answers.fail(pending, 504, last.reason)
+            self._responses.fail(pending, 504, last.reason)
         else:
-            self._answers.fail(pending, 502, last.reason)
+            self._responses.fail(pending, 502, last.reason)
 
 
 def _better(before: Tried, now: Tried) -> Tried:
--- a/caroblug/gateway/_rechecks.py
+++ b/caroblug/gateway/_rechecks.py
@@ -4,7 +4,7 @@
 
 from caroblug.gateway._context import Context
 from caroblug.gateway._interfaces import BackendServer, Unavailable
-from caroblug.gateway._spacing import Spacing
+from caroblug.gateway._throttle import Throttle
 
 _EVERY_S = 0.1
 _OLD_LIST_MS = 1800
@@ -28,7 +28,7 @@
 
     def __init__(self, context: Context) -> None:
         self._context = context
-        self._asked = Spacing(_ASK_AGAIN_MS)
+        self._asked = Throttle(_ASK_AGAIN_MS)
         self._asking: set[str] = set()
 
     def run(self) -> None:
--- a/caroblug/gateway/_slowness.py
+++ b/caroblug/gateway/_slowness.py
@@ -10,8 +10,8 @@
 
 from caroblug.gateway._context import Context
 from caroblug.gateway._interfaces import Unavailable
-from caroblug.gateway._running import EngineUse, RunningStreams
-from caroblug.gateway._spacing import Spacing
+from caroblug.gateway._running_streams import EngineUse, RunningStreams
+from caroblug.gateway._throttle import Throttle
 
 _LOOK_S = 0.25
 _SUSPICIOUS = 1.5
@@ -45,7 +45,7 @@
         self._context = context
         self._running = running
         self._usual_ms = 0.0
-        self._asked = Spacing(_ASK_AGAIN_MS)
+        self._asked = Throttle(_ASK_AGAIN_MS)
 
     def run(self) -> None:
         """Looks after running streams until the process ends."""
--- a/caroblug/gateway/_stream_repair.py
+++ b/caroblug/gateway/_stream_path_repair.py
@@ -2,24 +2,24 @@
 
 from caroblug.core.placement import NoPath, Path
 from caroblug.gateway._interfaces import OrderOutcome
-from caroblug.gateway._stream_choice import StreamChoice
+from caroblug.gateway._stream_retry_policy import StreamRetryPolicy
 from caroblug.gateway._stream_state import StreamState
 
 _PATH_TRIES = 2
 """Other paths that a run is offered; each is a call, and the caller waits."""
 
 
-class StreamRepair:
+class StreamPathRepair:
     """Replaces a lost part of the path of a stream that runs.
 
     Args:
         state: The stream.
-        choice: Chooses its paths.
+        policy: Chooses its paths.
     """
 
-    def __init__(self, state: StreamState, choice: StreamChoice) -> None:
+    def __init__(self, state: StreamState, policy: StreamRetryPolicy) -> None:
         self._state = state
-        self._choice = choice
+        self._policy = policy
         self._repairing = False
 
     @property
@@ -44,10 +44,10 @@
         exchange = state.exchange
         refused: frozenset[str] = frozenset()
         for _ in range(_PATH_TRIES):
-            path = self._choice.choose_other_parts(refused)
+            path = self._policy.choose_other_parts(refused)
             if isinstance(path, NoPath):
                 return "part is lost, no other one"
-            if path.crosses and self._choice.prepare_another_run():
+            if path.crosses and self._policy.prepare_another_run():
                 # All that was read so far would have to cross, for every
                 # stream at once; a whole path elsewhere reads it again sooner.
                 return "part is lost, the next one is far"
--- a/caroblug/gateway/_stream_choice.py
+++ b/caroblug/gateway/_stream_retry_policy.py
@@ -4,11 +4,11 @@
 
 from caroblug.core.placement import NoPath, Path
 from caroblug.gateway._crash_suspicions import CrashSuspicions
-from caroblug.gateway._runs import RunEnd, RunResult
+from caroblug.gateway._run_results import RunEnd, RunResult
 from caroblug.gateway._shared_retry_budget import SharedRetryBudget
 from caroblug.gateway._stream_state import StreamState
 
-PAUSE_MOST_MS = 1400
+MAX_PAUSE_MS = 1400
 """Pause after which a stream is continued elsewhere though nothing was found:
 callers leave after two seconds."""
 
@@ -19,7 +19,7 @@
 """Use of the fullest engine of a path below which it has room for one more."""
 
 
-class StreamChoice:
+class StreamRetryPolicy:
     """Chooses paths for one stream and counts its runs.
 
     Args:
@@ -83,7 +83,7 @@
         state = self._state
         if not state.pending.reply.begun or not self._may_begin_anew():
             return False
-        if state.now_ms - state.last_event_ms > PAUSE_MOST_MS:
+        if state.now_ms - state.last_event_ms > MAX_PAUSE_MS:
             return False
         state.avoid.clear()
         gevent.sleep(_LOOK_AGAIN_S)
--- a/caroblug/gateway/_stream_run.py
+++ b/caroblug/gateway/_stream_runner.py
@@ -17,10 +17,13 @@
     Sending,
     Unavailable,
 )
-from caroblug.gateway._running import RunningStream, RunningStreams
-from caroblug.gateway._runs import RunEnd, RunResult
-from caroblug.gateway._stream_choice import PAUSE_MOST_MS, StreamChoice
-from caroblug.gateway._stream_repair import StreamRepair
+from caroblug.gateway._run_results import RunEnd, RunResult
+from caroblug.gateway._running_streams import RunningStream, RunningStreams
+from caroblug.gateway._stream_path_repair import StreamPathRepair
+from caroblug.gateway._stream_retry_policy import (
+    MAX_PAUSE_MS,
+    StreamRetryPolicy,
+)
 from caroblug.gateway._stream_state import StreamState
 
 _HEAD_LOOK_S = 0.35
@@ -32,12 +35,12 @@
 call."""
 
 
-class StreamRuns:
+class StreamRunner:
     """Runs one stream over one path after the other.
 
     Args:
         state: The stream.
-        choice: Chooses its paths.
+        policy: Chooses its paths.
         repair: Changes the path of a run.
         crashes: Requests that crash backend servers.
         running: Takes the stream while it runs.
@@ -46,14 +49,14 @@
     def __init__(
         self,
         state: StreamState,
-        choice: StreamChoice,
-        repair: StreamRepair,
+        policy: StreamRetryPolicy,
+        repair: StreamPathRepair,
         crashes: CrashSuspicions,
         running: RunningStreams,
     ) -> None:
         self._state = state
         self._context = state.context
-        self._choice = choice
+        self._policy = policy
         self._repair = repair
         self._crashes = crashes
         self._running = running
@@ -145,7 +148,7 @@
         state = self._state
         reply = state.pending.reply
         while True:
-            piece = state.exchange.read_piece(self._wait_s(_PAUSE_LOOK_S))
+            piece = state.exchange.read_chunk(self._wait_s(_PAUSE_LOOK_S))
             if isinstance(piece, EndOfBody):
                 if state.events.mid_event:
                     return RunResult(RunEnd.LOST, "ended inside an event")
@@ -173,7 +176,7 @@
     def _pass_on(self, events: list[bytes]) -> None:
         state = self._state
         state.end_reading()
-        state.pending.reply.send_piece(b"".join(events))
+        state.pending.reply.send_chunk(b"".join(events))
         now_ms = state.now_ms
         state.times.on_events(now_ms)
         state.pace.add(len(events), now_ms - state.last_event_ms)
@@ -251,7 +254,7 @@
         if paused_ms < look_s * 1000:
             return None
         result = self._look_into(paused_ms)
-        if result is None or not self._choice.prepare_another_run():
+        if result is None or not self._policy.prepare_another_run():
             return None
         return result
 
@@ -272,9 +275,9 @@
             if request_id == state.pending.caller.id:
                 return self._on_stalled(address)
         lost = not state.pace.events and not report.waiting
-        if paused_ms < PAUSE_MOST_MS and not lost:
+        if paused_ms < MAX_PAUSE_MS and not lost:
             return None
-        if not self._choice.is_better_elsewhere():
+        if not self._policy.is_better_elsewhere():
             return None
         return RunResult(RunEnd.LOST, f"no event for {paused_ms} ms")
 
--- a/caroblug/gateway/_stream_state.py
+++ b/caroblug/gateway/_stream_state.py
@@ -6,7 +6,7 @@
 from caroblug.gateway._context import Context
 from caroblug.gateway._events import EventPace, EventSequence
 from caroblug.gateway._http_client import Exchange
-from caroblug.gateway._pending import Pending
+from caroblug.gateway._pending_request import PendingRequest
 from caroblug.gateway._timeliness import Timeliness
 
 
@@ -29,7 +29,7 @@
     """
 
     context: Context
-    pending: Pending
+    pending: PendingRequest
     times: Timeliness
     events: EventSequence
     path: Path | None = None
@@ -114,7 +114,7 @@
         return max(1, caller.prompt_tokens + caller.answer_tokens // 2)
 
 
-def make_stream_state(context: Context, pending: Pending) -> StreamState:
+def make_stream_state(context: Context, pending: PendingRequest) -> StreamState:
     """Returns the state of a stream that has not run yet."""
     times = Timeliness(pending.request.began_ms)
     pending.timeliness = times
--- a/caroblug/gateway/_streams.py
+++ b/caroblug/gateway/_streams.py
@@ -12,13 +12,17 @@
 from caroblug.core.placement import NoPath, Path
 from caroblug.gateway._context import Context
 from caroblug.gateway._crash_suspicions import CrashSuspicions
-from caroblug.gateway._pending import NO_ENGINES_MS, Answers, Pending
-from caroblug.gateway._running import RunningStream, RunningStreams
-from caroblug.gateway._runs import RunEnd, RunResult
+from caroblug.gateway._pending_request import (
+    NO_ENGINES_RETRY_AFTER_MS,
+    GatewayResponses,
+    PendingRequest,
+)
+from caroblug.gateway._run_results import RunEnd, RunResult
+from caroblug.gateway._running_streams import RunningStream, RunningStreams
 from caroblug.gateway._shared_retry_budget import SharedRetryBudget
-from caroblug.gateway._stream_choice import StreamChoice
-from caroblug.gateway._stream_repair import StreamRepair
-from caroblug.gateway._stream_run import StreamRuns
+from caroblug.gateway._stream_path_repair import StreamPathRepair
+from caroblug.gateway._stream_retry_policy import StreamRetryPolicy
+from caroblug.gateway._stream_runner import StreamRunner
 from caroblug.gateway._stream_state import StreamState, make_stream_state
 
 _FIRST_EVENT_MS = 150
@@ -28,7 +32,7 @@
 _MOST_SENDS = 5
 
 
-class Streams:
+class StreamHandler:
     """Answers streaming requests.
 
     Args:
@@ -49,16 +53,18 @@
         self._crashes = crashes
         self._running = running
         self._retry_budget = retry_budget
-        self._answers = Answers(context)
+        self._responses = GatewayResponses(context)
 
-    def serve(self, pending: Pending) -> None:
+    def serve(self, pending: PendingRequest) -> None:
         """Answers one request, at the end of its time at the latest."""
         state = make_stream_state(self._context, pending)
-        choice = StreamChoice(state, self._crashes, self._retry_budget)
-        repair = StreamRepair(state, choice)
-        runs = StreamRuns(state, choice, repair, self._crashes, self._running)
+        policy = StreamRetryPolicy(state, self._crashes, self._retry_budget)
+        repair = StreamPathRepair(state, policy)
+        runner = StreamRunner(
+            state, policy, repair, self._crashes, self._running
+        )
         _Stream(
-            state, choice, repair, runs, self._crashes, self._answers
+            state, policy, repair, runner, self._crashes, self._responses
         ).serve()
 
 
@@ -68,18 +74,18 @@
     def __init__(
         self,
         state: StreamState,
-        choice: StreamChoice,
-        repair: StreamRepair,
-        runs: StreamRuns,
+        policy: StreamRetryPolicy,
+        repair: StreamPathRepair,
+        runner: StreamRunner,
         crashes: CrashSuspicions,
-        answers: Answers,
+        responses: GatewayResponses,
     ) -> None:
         self._state = state
-        self._choice = choice
+        self._policy = policy
         self._repair = repair
-        self._runs = runs
+        self._runner = runner
         self._crashes = crashes
-        self._answers = answers
+        self._responses = responses
 
     @property
     def path(self) -> Path:
@@ -102,29 +108,29 @@
         """Runs until the answer is whole or can't become so."""
         pending = self._state.pending
         result = RunResult(RunEnd.NOT_SENT, "no time left")
-        while pending.sends < _MOST_SENDS and not self._runs.unreachable:
+        while pending.sends < _MOST_SENDS and not self._runner.unreachable:
             if self._state.left_ms <= 0:
                 result = RunResult(RunEnd.OUT_OF_TIME, "no time left")
                 break
-            path = self._choice.choose_path()
+            path = self._policy.choose_path()
             if isinstance(path, NoPath):
                 result = RunResult(
                     RunEnd.NO_PATH, f"no engine for layer {path.layer}"
                 )
-                if self._choice.wait_to_go_on():
+                if self._policy.wait_to_go_on():
                     continue
                 break
-            if pending.sends and not self._choice.take_repeat():
+            if pending.sends and not self._policy.take_repeat():
                 result = attrs.evolve(result, reason="repeats are spent")
-                if self._choice.wait_to_go_on():
+                if self._policy.wait_to_go_on():
                     continue
                 break
-            self._choice.on_run()
-            result = self._runs.run(self, path)
+            self._policy.on_run()
+            result = self._runner.run(self, path)
             self._note(result)
             if result.end in (RunEnd.WHOLE, RunEnd.OUT_OF_TIME):
                 break
-            if not self._choice.may_run_again(result):
+            if not self._policy.may_run_again(result):
                 break
         self._finish(result)
 
@@ -148,34 +154,36 @@
         elif not self._repair.repairing:
             problem = self._repair.replace(name)
         exchange = state.exchange
-        if not problem or not self._choice.prepare_another_run():
+        if not problem or not self._policy.prepare_another_run():
             return
         # Others may have been asked for a repeat, and the run ended meanwhile.
         if exchange is state.exchange:
-            self._runs.give_up(problem)
+            self._runner.give_up(problem)
 
     def _finish(self, result: RunResult) -> None:
         pending = self._state.pending
         reply = pending.reply
         if result.end is RunEnd.WHOLE:
-            self._answers.log(pending, 200)
+            self._responses.log(pending, 200)
             reply.finish()
         elif reply.begun:
             # The connection ends without the mark of a whole answer, so that
             # the caller can't take what it has for all there is.
             reply.end_connection()
-            self._answers.log(pending, 200, result.reason, cut=True)
+            self._responses.log(pending, 200, result.reason, cut=True)
         elif result.end is RunEnd.ANSWERED:
-            self._answers.log(pending, result.head.status, "engine's answer")
+            self._responses.log(pending, result.head.status, "engine's answer")
             reply.send(
                 result.head.status, list(result.facts.headers), result.body
             )
         elif result.end is RunEnd.OUT_OF_TIME and pending.ran:
-            self._answers.fail(pending, 504, result.reason)
+            self._responses.fail(pending, 504, result.reason)
         elif result.end is RunEnd.NO_PATH:
-            self._answers.refuse(pending, result.reason, NO_ENGINES_MS)
+            self._responses.refuse(
+                pending, result.reason, NO_ENGINES_RETRY_AFTER_MS
+            )
         else:
-            self._answers.refuse(pending, result.reason)
+            self._responses.refuse(pending, result.reason)
 
     def _note(self, result: RunResult) -> None:
         if result.end is RunEnd.WHOLE:
--- a/caroblug/gateway/tests/test_liveness.py
+++ b/caroblug/gateway/tests/test_liveness.py
@@ -10,7 +10,7 @@
 from caroblug.core.placement.tests.fleets import make_engine
 from caroblug.gateway._exchange_results import FailureKind
 from caroblug.gateway._liveness import Liveness
-from caroblug.gateway._running import RunningStream, RunningStreams
+from caroblug.gateway._running_streams import RunningStream, RunningStreams
 from caroblug.gateway.tests.fakes import make_context
 from caroblug.utils import ManualClock
 
--- a/caroblug/gateway/tests/test_slowness.py
+++ b/caroblug/gateway/tests/test_slowness.py
@@ -3,7 +3,7 @@
 import attrs
 import gevent
 
-from caroblug.gateway._running import RunningStreams
+from caroblug.gateway._running_streams import RunningStreams
 from caroblug.gateway._slowness import Slowness
 from caroblug.gateway.tests.fakes import make_context
 from caroblug.gateway.tests.test_fleet import POOL, list_of, make_engine
--- a/caroblug/gateway/tests/test_start.py
+++ b/caroblug/gateway/tests/test_start.py
@@ -4,7 +4,7 @@
 
 from caroblug import listening
 from caroblug.core.access import RequestLimits
-from caroblug.gateway._http_server import CallerServer
+from caroblug.gateway._http_server import HttpServer
 from caroblug.utils import MonotonicClock
 from standins._ports import Ports
 
@@ -12,7 +12,7 @@
 
 
 def make_server(address):
-    return CallerServer(
+    return HttpServer(
         address,
         lambda request, reply: reply.send(200, [], b"served"),
         RequestLimits,
