--- a/caroblug/gateway/_caller_requests.py
+++ b/caroblug/gateway/_caller_requests.py
@@ -1,4 +1,4 @@
-"""Requests of callers, as read off a connection."""
+"""Incremental parsing of callers' HTTP requests."""
 
 import attrs
 import httptools
@@ -6,15 +6,15 @@
 
 @attrs.define
 class RawRequest:
-    """One request, whole.
+    """A complete HTTP request.
 
     Attributes:
-        method: Method.
+        method: HTTP method.
         target: Path and query as sent.
-        headers: Names as sent and values, in order.
-        body: Body, without its framing.
+        headers: Pairs of name and value, in the order and case received.
+        body: Body without its transfer framing.
         keep_alive: Whether the connection may carry another request.
-        began_ms: When its first byte was read.
+        began_ms: Time at which the first byte was read.
     """
 
     method: str
@@ -30,7 +30,14 @@
         return self.target.partition("?")[0]
 
     def get(self, name: str) -> str | None:
-        """Returns the first value of a header, named in lower case."""
+        """Returns the first value of a header.
+
+        Args:
+            name: Header name in lower case.
+
+        Returns:
+            The value, or None if the header is absent.
+        """
         for key, value in self.headers:
             if key.lower() == name:
                 return value
@@ -39,11 +46,11 @@
 
 @attrs.frozen
 class BadRequest:
-    """What a caller sent can't be served.
+    """A request that can't be parsed or exceeds a limit.
 
     Attributes:
-        status: Status to answer with.
-        message: What is wrong with it.
+        status: HTTP status of the response.
+        message: Description of the problem.
     """
 
     status: int
@@ -51,47 +58,56 @@
 
 
 class RequestReader:
-    """Cuts the bytes of a connection into requests.
+    """Parses the byte stream of a connection into requests.
 
     Args:
-        header_bytes: Most bytes of request line and headers.
-        body_bytes: Most bytes of a body.
+        header_bytes: Maximum size of request line and headers.
+        body_bytes: Maximum size of a body.
     """
 
     def __init__(self, header_bytes: int, body_bytes: int) -> None:
         self._header_bytes = header_bytes
         self._body_bytes = body_bytes
         self._parser = httptools.HttpRequestParser(self)
-        self._ready: list[RawRequest] = []
+        self._complete: list[RawRequest] = []
         self._problem: BadRequest | None = None
         self._now_ms = 0
-        self._seen = 0
+        self._head_bytes_received = 0
         self._in_head = False
         self.wants_continue = False
         self._reset()
 
     @property
     def partial(self) -> bool:
-        """Whether a request has begun and isn't whole yet."""
+        """Whether a request has begun and is incomplete."""
         return self._begun
 
     @property
     def in_head(self) -> bool:
-        """Whether the head of a request has begun and isn't whole yet."""
+        """Whether the head of a request has begun and is incomplete."""
         return self._begun and self._in_head
 
     @property
     def began_ms(self) -> int:
-        """When the request that isn't whole yet began."""
+        """Time at which the incomplete request began."""
         return self._began_ms
 
     def feed(self, data: bytes, now_ms: int) -> list[RawRequest] | BadRequest:
-        """Takes bytes; returns requests that became whole, or a problem."""
+        """Parses more bytes of the connection.
+
+        Args:
+            data: Bytes read.
+            now_ms: Time now.
+
+        Returns:
+            The requests completed by these bytes, or why the connection
+            can't go on.
+        """
         self._now_ms = now_ms
         if not self._begun:
             self._begin()
         if self._in_head:
-            self._seen += len(data)
+            self._head_bytes_received += len(data)
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
@@ -101,48 +117,48 @@
                 return BadRequest(400, "not an HTTP request")
         if self._problem is not None:
             return self._problem
-        if self.in_head and self._seen > self._header_bytes:
+        if self.in_head and self._head_bytes_received > self._header_bytes:
             return BadRequest(431, "headers are too long")
-        ready, self._ready = self._ready, []
-        return ready
+        complete, self._complete = self._complete, []
+        return complete
 
-    # Callbacks of the parser.
+    # Callbacks of httptools.
 
     def on_message_begin(self) -> None:
-        """Starts a request."""
+        """Starts a new request."""
         self._begin()
 
     def on_url(self, url: bytes) -> None:
-        """Takes a part of the target."""
+        """Appends a part of the request target."""
         self._target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Takes one header."""
-        self._head_bytes += len(name) + len(value) + 4
+        """Adds one header."""
+        self._head_bytes_parsed += len(name) + len(value) + 4
         self._headers.append((name.decode("latin-1"), value.decode("latin-1")))
 
     def on_headers_complete(self) -> None:
-        """Checks the head."""
+        """Checks the limits that are known once the head is complete."""
         self._in_head = False
-        if self._head_bytes + len(self._target) > self._header_bytes:
+        if self._head_bytes_parsed + len(self._target) > self._header_bytes:
             self._problem = BadRequest(431, "headers are too long")
         for name, value in self._headers:
-            low = name.lower()
-            if low == "content-length" and value.strip().isdigit():
+            lower_name = name.lower()
+            if lower_name == "content-length" and value.strip().isdigit():
                 if int(value) > self._body_bytes:
                     self._problem = BadRequest(413, "body is too long")
-            elif low == "expect":
+            elif lower_name == "expect":
                 self.wants_continue = value.lower() == "100-continue"
 
     def on_body(self, data: bytes) -> None:
-        """Takes a part of the body."""
+        """Appends a part of the body and checks its size."""
         self._body += data
         if len(self._body) > self._body_bytes:
             self._problem = BadRequest(413, "body is too long")
 
     def on_message_complete(self) -> None:
-        """Finishes a request."""
-        self._ready.append(
+        """Adds the completed request to those that `feed` returns."""
+        self._complete.append(
             RawRequest(
                 method=self._parser.get_method().decode("latin-1"),
                 target=self._target.decode("latin-1"),
@@ -165,8 +181,8 @@
         self._begun = False
         self._in_head = False
         self._began_ms = 0
-        self._seen = 0
-        self._head_bytes = 0
+        self._head_bytes_received = 0
+        self._head_bytes_parsed = 0
         self._target = b""
         self._headers: list[tuple[str, str]] = []
         self._body = bytearray()
--- a/caroblug/gateway/_events.py
+++ b/caroblug/gateway/_events.py
@@ -1,25 +1,25 @@
-"""Server-sent events of one stream, over any number of runs.
+"""Ordering of server-sent events across the runs of one stream.
 
-Only whole events are passed on, in order of their ids, each once: a run may
-end in the middle of an event, and the run that goes on after it may begin with
-events that the caller has.
+Only complete events are forwarded, once each and in order of their ids. A run
+may end in the middle of an event, and the run that replaces it may begin with
+events that the caller already has.
 """
 
 import re
 
 import attrs
 
-_ID = re.compile(rb"(?:^|\n)id: ?(\d+)")
-_GAP = re.compile(rb"\r?\n\r?\n")
+_EVENT_ID = re.compile(rb"(?:^|\n)id: ?(\d+)")
+_EVENT_END = re.compile(rb"\r?\n\r?\n")
 
 
 @attrs.frozen
 class Event:
-    """One event.
+    """A server-sent event.
 
     Attributes:
-        id: Its id; None for an event without one.
-        data: Its bytes, with the blank line that ends it.
+        id: Event id; None for an event without one.
+        data: Bytes of the event, including the blank line that ends it.
     """
 
     id: int | None
@@ -27,12 +27,12 @@
 
 
 @attrs.frozen
-class Misordered:
-    """An event does not follow the last one that was passed on.
+class OutOfOrderEvent:
+    """An event whose id doesn't follow that of the last forwarded event.
 
     Attributes:
-        expected: The id that was due.
-        found: The id that came.
+        expected: Next id in the sequence.
+        found: Id received.
     """
 
     expected: int
@@ -40,72 +40,81 @@
 
 
 class EventSequence:
-    """Cuts the bytes of runs into events and keeps their order.
+    """Splits the bytes of runs into events and enforces their order.
 
     Args:
-        last_id: Id of the last event that the caller has; None if it has
-            none.
+        last_id: Id of the last event that the caller already has; None if it
+            has none.
     """
 
     def __init__(self, last_id: int | None = None) -> None:
         self._last_id = last_id
-        self._rest = b""
+        self._buffer = b""
         self._count = 0
 
     @property
     def last_id(self) -> int | None:
-        """Id of the last event passed on, or that the caller had before."""
+        """Id of the last event forwarded or already held by the caller."""
         return self._last_id
 
     @property
     def count(self) -> int:
-        """Events passed on."""
+        """Number of events forwarded."""
         return self._count
 
     @property
     def mid_event(self) -> bool:
-        """Whether bytes of an event have come whose end hasn't."""
-        return bool(self._rest)
+        """Whether the bytes received end inside an event."""
+        return bool(self._buffer)
 
     def begin_run(self) -> None:
-        """Forgets the unfinished event of the run before."""
-        self._rest = b""
-
-    def feed(self, data: bytes) -> list[bytes] | Misordered:
-        """Takes bytes of a run; returns what to pass on."""
-        self._rest += data
-        passed = []
-        while (gap := _GAP.search(self._rest)) is not None:
-            event = self._rest[: gap.end()]
-            self._rest = self._rest[gap.end() :]
-            problem = self._take(event, passed)
+        """Discards the incomplete event of the previous run."""
+        self._buffer = b""
+
+    def feed(self, data: bytes) -> list[bytes] | OutOfOrderEvent:
+        """Parses more bytes of a run.
+
+        Args:
+            data: Bytes received.
+
+        Returns:
+            The events to forward, or the first one that is out of order.
+        """
+        self._buffer += data
+        forwarded = []
+        while (match := _EVENT_END.search(self._buffer)) is not None:
+            event = self._buffer[: match.end()]
+            self._buffer = self._buffer[match.end() :]
+            problem = self._accept(event, forwarded)
             if problem is not None:
                 return problem
-        return passed
+        return forwarded
 
-    def _take(self, event: bytes, passed: list[bytes]) -> Misordered | None:
-        match = _ID.search(event)
+    def _accept(
+        self, event: bytes, forwarded: list[bytes]
+    ) -> OutOfOrderEvent | None:
+        match = _EVENT_ID.search(event)
         if match is not None:
             found = int(match.group(1))
             last = self._last_id
             if last is not None and found <= last:
                 return None
             if last is not None and found != last + 1:
-                return Misordered(last + 1, found)
+                return OutOfOrderEvent(last + 1, found)
             self._last_id = found
         self._count += 1
-        passed.append(event)
+        forwarded.append(event)
         return None
 
 
-_GAP_WEIGHT = 0.2
-_GAP_EVENTS = 12
-"""Events of a run after which its mean gap is told: by then it counts for nine
-tenths of what is told."""
+_GAP_SMOOTHING = 0.2
+_GAP_MIN_EVENTS = 12
+"""Events of a run before its mean gap is reported. The moving average starts at
+0; by then, measured gaps make up nine tenths of it."""
 
 
 class EventPace:
-    """Time between the events of one run."""
+    """Moving average of the time between the events of one run."""
 
     def __init__(self) -> None:
         self._events = 0
@@ -113,21 +122,21 @@
 
     @property
     def events(self) -> int:
-        """Events of the run so far."""
+        """Number of events of the run so far."""
         return self._events
 
     @property
     def gap_ms(self) -> float:
-        """Mean time between the latest events; 0 before it is known."""
-        return self._gap_ms if self._events >= _GAP_EVENTS else 0.0
+        """Mean time between recent events; 0 until enough have arrived."""
+        return self._gap_ms if self._events >= _GAP_MIN_EVENTS else 0.0
 
     def add(self, events: int, after_ms: int) -> None:
-        """Takes events that came together.
+        """Records events that arrived together.
 
         Args:
-            events: How many.
-            after_ms: Time since the ones before, or since the run began.
+            events: Number of events.
+            after_ms: Time since the previous events, or since the run began.
         """
         if self._events:
-            self._gap_ms += (after_ms / events - self._gap_ms) * _GAP_WEIGHT
+            self._gap_ms += (after_ms / events - self._gap_ms) * _GAP_SMOOTHING
         self._events += events
--- a/caroblug/gateway/_exchange_results.py
+++ b/caroblug/gateway/_exchange_results.py
@@ -1,4 +1,4 @@
-"""What can come of talking to another process."""
+"""Results of an HTTP exchange with another process."""
 
 import enum
 
@@ -6,7 +6,7 @@
 
 
 class FailureKind(enum.Enum):
-    """Why an exchange gave no whole answer."""
+    """Reason why an exchange returned no complete response."""
 
     CONNECT = "connect"
     REFUSED = "refused"
@@ -19,12 +19,12 @@
 
 @attrs.frozen
 class ExchangeFailure:
-    """An exchange that ended without a whole answer.
+    """An exchange that ended without a complete response.
 
     Attributes:
-        failure: What was seen.
-        sent: Whether a byte of the request may have left. Only if none has
-            is it certain that the other side did no work.
+        failure: Kind of failure.
+        sent: Whether any byte of the request may have been sent. Only if
+            none was is it certain that the peer did no work.
     """
 
     failure: FailureKind
@@ -33,28 +33,35 @@
 
 @attrs.frozen
 class ReadTimeout:
-    """Nothing came in the time given; the connection still stands."""
+    """No data arrived within the timeout; the connection is still open."""
 
 
 @attrs.frozen
 class EndOfBody:
-    """The answer is whole."""
+    """The response body is complete."""
 
 
 @attrs.frozen
 class ResponseHead:
-    """Status line and headers of an answer.
+    """Status line and headers of a response.
 
     Attributes:
         status: Status code.
-        headers: Names as sent and values, in order.
+        headers: Pairs of name and value, in the order and case received.
     """
 
     status: int
     headers: tuple[tuple[str, str], ...]
 
     def get(self, name: str) -> str | None:
-        """Returns the first value of a header, named in lower case."""
+        """Returns the first value of a header.
+
+        Args:
+            name: Header name in lower case.
+
+        Returns:
+            The value, or None if the header is absent.
+        """
         for key, value in self.headers:
             if key.lower() == name:
                 return value
@@ -63,7 +70,12 @@
 
 @attrs.frozen
 class HttpResponse:
-    """A whole answer."""
+    """A complete response.
+
+    Attributes:
+        head: Status line and headers.
+        body: Decoded body.
+    """
 
     head: ResponseHead
     body: bytes
--- a/caroblug/gateway/_http_client.py
+++ b/caroblug/gateway/_http_client.py
@@ -1,9 +1,10 @@
-"""One HTTP request over one new connection.
+"""HTTP client that opens a new connection for each request.
 
-A connection is never used twice. A kept one may be dropped by the other side
-unseen, or hold the late second answer of an earlier request; each would need a
-guard of its own, and a request that may not be repeated could not be tried
-again. What a new connection costs is a round trip inside the data centre.
+Connections are never reused. The peer may have closed an idle connection
+unnoticed, or a late second response to an earlier request may arrive on it.
+Each case would need its own check, and a request that isn't idempotent
+couldn't be retried. A new connection costs one round trip inside the data
+centre.
 """
 
 import collections
@@ -25,17 +26,17 @@
 Address = tuple[str, int]
 
 _RECEIVE_BYTES = 65536
-_MOST_WAITS = 12
-_DEAD_PEER_MS = 4000
-"""Unacknowledged bytes and unanswered probes end a connection after this.
+_MAX_WAITS = 12
+_TCP_USER_TIMEOUT_MS = 4000
+"""Time without acknowledgement after which the kernel ends a connection.
 
-Guards against a peer without power or behind a cut: it answers nothing, not
-even a reset, and a write would wait for the kernel's own quarter of an hour.
+A peer that lost power or is cut off sends nothing, not even a reset, and a
+write would wait for the kernel's default timeout of a quarter of an hour.
 """
 
 
 class Exchange:
-    """A request and its answer, read piece by piece.
+    """A request and its response, which is read incrementally.
 
     Args:
         address: Host and port.
@@ -47,19 +48,26 @@
         self._sent = False
         self._parser = httptools.HttpResponseParser(self)
         self._headers: list[tuple[str, str]] = []
-        self._pieces: collections.deque[bytes] = collections.deque()
+        self._chunks: collections.deque[bytes] = collections.deque()
         self._head_done = False
         self._done = False
-        self._framed = False
-        self._bodiless = False
+        self._has_framing = False
+        self._without_body = False
 
     @property
     def sent(self) -> bool:
-        """Whether a byte of the request may have left."""
+        """Whether any byte of the request may have been sent."""
         return self._sent
 
     def connect(self, timeout_s: float) -> ExchangeFailure | None:
-        """Opens the connection; returns what went wrong, if anything."""
+        """Opens the connection.
+
+        Args:
+            timeout_s: Connect timeout.
+
+        Returns:
+            The failure, or None if the connection is open.
+        """
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self._socket = sock
         set_socket_options(sock)
@@ -67,39 +75,40 @@
         try:
             sock.connect(self._address)
         except ConnectionRefusedError:
-            return self._broken(FailureKind.REFUSED)
+            return self._fail(FailureKind.REFUSED)
         except OSError:
-            return self._broken(FailureKind.CONNECT)
+            return self._fail(FailureKind.CONNECT)
         return None
 
     def send(
         self, data: bytes, timeout_s: float, bodiless: bool = False
     ) -> ExchangeFailure | None:
-        """Sends the whole request.
+        """Sends the complete request.
 
         Args:
-            data: ResponseHead and body.
-            timeout_s: Bound on the sending.
-            bodiless: Whether the answer has no body whatever its head says,
-                as for HEAD.
+            data: Head and body.
+            timeout_s: Timeout for sending.
+            bodiless: Whether the response has no body regardless of its
+                headers, as for HEAD.
+
+        Returns:
+            The failure, or None if the response can be read.
         """
-        self._bodiless = bodiless
+        self._without_body = bodiless
         self._sent = True
         self._socket.settimeout(max(0.001, timeout_s))
         try:
             self._socket.sendall(data)
         except OSError:
-            # The other side may have answered before it read the body and
-            # closed; what it said is then still to be read.
-            return (
-                None if self._has_bytes() else self._broken(FailureKind.RESET)
-            )
+            # The peer may have responded and closed the connection before it
+            # read the whole body. That response can still be read.
+            return None if self._has_bytes() else self._fail(FailureKind.RESET)
         return None
 
     def read_head(
         self, timeout_s: float
     ) -> ResponseHead | ReadTimeout | ExchangeFailure:
-        """Waits for the head of the answer."""
+        """Waits for the head of the response."""
         while not self._head_done:
             problem = self._receive(timeout_s)
             if problem is not None:
@@ -110,32 +119,33 @@
     def read_chunk(
         self, timeout_s: float
     ) -> bytes | EndOfBody | ReadTimeout | ExchangeFailure:
-        """Waits for more of the body."""
-        while not self._pieces:
+        """Waits for the next chunk of the body."""
+        while not self._chunks:
             if self._done:
                 return EndOfBody()
             problem = self._receive(timeout_s)
             if problem is not None:
                 return problem
-        return self._pieces.popleft()
+        return self._chunks.popleft()
 
     def read_body(
         self, timeout_s: float
     ) -> bytes | ReadTimeout | ExchangeFailure:
-        """Reads the body to its end, with `timeout_s` for each piece."""
-        pieces = []
+        """Reads the complete body, with `timeout_s` for each chunk."""
+        chunks = []
         while True:
-            piece = self.read_chunk(timeout_s)
-            if isinstance(piece, EndOfBody):
-                return b"".join(pieces)
-            if not isinstance(piece, bytes):
-                return piece
-            pieces.append(piece)
+            chunk = self.read_chunk(timeout_s)
+            if isinstance(chunk, EndOfBody):
+                return b"".join(chunks)
+            if not isinstance(chunk, bytes):
+                return chunk
+            chunks.append(chunk)
 
     def is_open(self, wait_s: float) -> bool:
-        """Waits on an idle connection; returns whether it is still open.
+        """Waits on an idle connection and returns whether it is still open.
 
-        Bytes that nobody asked for are no answer to anything: they end it.
+        Unsolicited bytes belong to no request, so that a connection that
+        receives them counts as closed.
         """
         self._socket.settimeout(max(0.001, wait_s))
         try:
@@ -143,39 +153,39 @@
         except TimeoutError:
             return True
         except OSError:
-            # A reset says what the return value says.
+            # The peer reset the connection.
             return False
         return False
 
     def close(self) -> None:
-        """Ends the connection; the other side drops what it still does."""
+        """Closes the connection, which makes the peer abort the request."""
         if self._socket is not None:
             self._socket.close()
 
-    # Callbacks of the parser.
+    # Callbacks of httptools.
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Takes one header."""
+        """Adds one header."""
         self._headers.append((name.decode("latin-1"), value.decode("latin-1")))
 
     def on_headers_complete(self) -> None:
-        """Notes how the body's end will be known."""
+        """Records how the end of the body is delimited."""
         if self._parser.get_status_code() < 200:
             return
         for name, _ in self._headers:
             if name.lower() in ("content-length", "transfer-encoding"):
-                self._framed = True
+                self._has_framing = True
         self._head_done = True
-        if self._bodiless:
+        if self._without_body:
             self._done = True
 
     def on_body(self, data: bytes) -> None:
-        """Takes a piece of the body."""
+        """Adds a chunk of the body."""
         if not self._done:
-            self._pieces.append(bytes(data))
+            self._chunks.append(bytes(data))
 
     def on_message_complete(self) -> None:
-        """Notes the end; whatever follows belongs to no request."""
+        """Records the end of the response; later bytes are ignored."""
         if self._parser.get_status_code() < 200:
             self._headers.clear()
             return
@@ -190,22 +200,25 @@
         except TimeoutError:
             return ReadTimeout()
         except OSError:
-            return self._broken(FailureKind.RESET)
+            return self._fail(FailureKind.RESET)
         if not data:
             return self._on_closed()
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
             if not self._done:
-                return self._broken(FailureKind.NOT_HTTP)
+                return self._fail(FailureKind.NOT_HTTP)
         return None
 
     def _on_closed(self) -> ExchangeFailure | None:
-        """Handles the other side's orderly end of the connection."""
-        if self._head_done and not self._framed:
+        """Handles an orderly close by the peer.
+
+        It ends a body that has neither a length nor chunked encoding.
+        """
+        if self._head_done and not self._has_framing:
             self._done = True
             return None
-        return self._broken(
+        return self._fail(
             FailureKind.CUT_SHORT if self._head_done else FailureKind.RESET
         )
 
@@ -216,18 +229,18 @@
         except OSError:
             return False
 
-    def _broken(self, failure: FailureKind) -> ExchangeFailure:
+    def _fail(self, failure: FailureKind) -> ExchangeFailure:
         self.close()
         return ExchangeFailure(failure, self._sent)
 
 
 def set_socket_options(sock) -> None:
-    """Lets small writes go at once and dead peers be found."""
+    """Disables Nagle's algorithm and bounds the wait for a dead peer."""
     sock.setsockopt(stdlib_socket.IPPROTO_TCP, stdlib_socket.TCP_NODELAY, 1)
     sock.setsockopt(
         stdlib_socket.IPPROTO_TCP,
         stdlib_socket.TCP_USER_TIMEOUT,
-        _DEAD_PEER_MS,
+        _TCP_USER_TIMEOUT_MS,
     )
 
 
@@ -237,19 +250,22 @@
     timeout_s: float,
     connect_s: float | None = None,
 ) -> HttpResponse | ExchangeFailure:
-    """Sends a request and reads the whole answer.
+    """Sends a request and reads the complete response.
 
     Args:
         address: Host and port.
-        request: ResponseHead and body.
-        timeout_s: Bound on each wait; all of them together are bounded by
-            `_MOST_WAITS` times that, so that an answer whose bytes come one
-            by one has an end.
-        connect_s: Bound on the connecting, if another one.
+        request: Head and body.
+        timeout_s: Timeout for each wait. The whole exchange is bounded by
+            `_MAX_WAITS` times this value, so that a response that trickles in
+            byte by byte can't last forever.
+        connect_s: Connect timeout; `timeout_s` if it is None.
+
+    Returns:
+        The response, or why there is none.
     """
     exchange = Exchange(address)
     try:
-        with gevent.Timeout(timeout_s * _MOST_WAITS, False):
+        with gevent.Timeout(timeout_s * _MAX_WAITS, False):
             return _fetch(exchange, request, timeout_s, connect_s or timeout_s)
         return ExchangeFailure(FailureKind.SILENT, exchange.sent)
     finally:
@@ -283,7 +299,14 @@
     headers: list[tuple[str, str]],
     body: bytes = b"",
 ) -> bytes:
-    """Returns the bytes of a request that ends its connection."""
+    """Returns the bytes of a request.
+
+    Args:
+        method: HTTP method.
+        target: Path and query.
+        headers: Pairs of name and value.
+        body: Body; a Content-Length header is added if it is needed.
+    """
     lines = [f"{method} {target} HTTP/1.1"]
     lines.extend(f"{name}: {value}" for name, value in headers)
     if body or method not in ("GET", "HEAD"):
--- a/caroblug/gateway/_http_server.py
+++ b/caroblug/gateway/_http_server.py
@@ -1,4 +1,4 @@
-"""Callers' connections: reading, one answer after the other, closing."""
+"""HTTP server with keep-alive, pipelining and graceful shutdown."""
 
 import collections
 import contextlib
@@ -20,13 +20,13 @@
 from caroblug.utils import Clock
 
 _RECEIVE_BYTES = 65536
-_WRITE_S = 5.0
-"""Longest wait for a caller that does not read its answer, in seconds."""
+_WRITE_TIMEOUT_S = 5.0
+"""Timeout for writing to a caller that doesn't read its response."""
 
-_TICK_S = 0.5
-"""How often a connection without traffic looks at its time limits."""
+_CHECK_INTERVAL_S = 0.5
+"""Interval at which a connection without traffic checks its timeouts."""
 
-_REASONS = {
+_REASON_PHRASES = {
     200: "OK",
     400: "Bad Request",
     401: "Unauthorized",
@@ -42,22 +42,22 @@
 
 
 class CallerDisconnectedError(Exception):
-    """The caller has closed its connection or takes no more bytes."""
+    """The caller closed its connection or stopped reading."""
 
 
 class Reply:
-    """The answer to one request; it is sent once.
+    """Writer of the response to one request, which is sent once.
 
     Args:
-        sock: The caller's connection.
+        sock: Socket of the caller's connection.
         request: The request.
-        closing: Whether the connection is to end after the answer.
+        closing: Whether to close the connection after the response.
     """
 
     def __init__(self, sock, request: RawRequest, closing: bool) -> None:
         self._socket = sock
         self._bodiless = request.method == "HEAD"
-        self._keep = request.keep_alive and not closing
+        self._keep_alive = request.keep_alive and not closing
         self._begun = False
         self._ended = False
 
@@ -69,11 +69,11 @@
     @property
     def reusable(self) -> bool:
         """Whether the connection may carry another request."""
-        return self._ended and self._keep
+        return self._ended and self._keep_alive
 
     def end_connection(self) -> None:
-        """Lets the connection end after this answer."""
-        self._keep = False
+        """Makes the connection close after this response."""
+        self._keep_alive = False
 
     def send(
         self,
@@ -81,7 +81,13 @@
         headers: list[tuple[str, str]],
         body: bytes = b"",
     ) -> None:
-        """Sends a whole answer."""
+        """Sends a complete response.
+
+        Args:
+            status: Status code.
+            headers: Pairs of name and value, without framing.
+            body: Body; left out in a response to HEAD.
+        """
         framing = [("Content-Length", str(len(body)))]
         data = self._head(status, headers + framing)
         self._begun = True
@@ -89,56 +95,57 @@
         self._ended = True
 
     def begin(self, status: int, headers: list[tuple[str, str]]) -> None:
-        """Sends the head of an answer that comes in pieces."""
+        """Sends the head of a response with a chunked body."""
         framing = [("Transfer-Encoding", "chunked")]
         self._begun = True
         self._write(self._head(status, headers + framing))
 
     def send_chunk(self, data: bytes) -> None:
-        """Sends a piece of the body."""
+        """Sends a chunk of the body."""
         self._write(b"%x\r\n%b\r\n" % (len(data), data))
 
     def finish(self) -> None:
-        """Marks the answer as whole."""
+        """Sends the final chunk, which marks the response as complete."""
         self._write(b"0\r\n\r\n")
         self._ended = True
 
     def _head(self, status: int, headers: list[tuple[str, str]]) -> bytes:
-        lines = [f"HTTP/1.1 {status} {_REASONS.get(status, 'Status')}"]
+        lines = [f"HTTP/1.1 {status} {_REASON_PHRASES.get(status, 'Status')}"]
         lines.extend(f"{name}: {value}" for name, value in headers)
-        if not self._keep:
+        if not self._keep_alive:
             lines.append("Connection: close")
         return ("\r\n".join(lines) + "\r\n\r\n").encode("latin-1")
 
     def _write(self, data: bytes) -> None:
-        self._socket.settimeout(_WRITE_S)
+        self._socket.settimeout(_WRITE_TIMEOUT_S)
         try:
             self._socket.sendall(data)
         except OSError as error:
-            self._keep = False
+            self._keep_alive = False
             raise CallerDisconnectedError(str(error)) from error
 
 
 @attrs.frozen
 class IdleTimeout:
-    """A connection that has waited too long for a request."""
+    """A connection that has been idle for too long."""
 
 
 Handler = Callable[[RawRequest, Reply], None]
 
 
 class Connection:
-    """One caller's connection.
+    """A caller's connection.
 
-    Reading goes on while a request is answered, so that a caller's close is
-    seen at once and the work for it is stopped.
+    Reading continues while a request is handled, so that a close by the caller
+    is detected at once and stops the work on its request.
 
     Args:
-        sock: The connection.
-        handler: Answers one request.
-        limits: Returns the limits now in force.
+        sock: Socket of the connection.
+        handler: Function that responds to one request.
+        limits: Function that returns the limits in force.
         clock: Source of time.
-        closing: Tells whether connections are to end after their answer.
+        closing: Function that returns whether connections close after their
+            response.
     """
 
     def __init__(
@@ -154,30 +161,30 @@
         self._limits = limits
         self._clock = clock
         self._closing = closing
-        self._waiting: collections.deque[RawRequest] = collections.deque()
+        self._queue: collections.deque[RawRequest] = collections.deque()
         self._worker: gevent.Greenlet | None = None
         self._idle_since_ms = clock.now_ms()
-        self._over = False
+        self._ended = False
         now = limits()
         self._reader = RequestReader(now.header_bytes, now.body_bytes)
 
     @property
     def busy(self) -> bool:
-        """Whether a request is being answered."""
+        """Whether a request is being handled."""
         return self._worker is not None and not self._worker.dead
 
     @property
     def idle(self) -> bool:
-        """Whether no byte of a request is waiting or being answered."""
+        """Whether no request is being received or handled."""
         if self.busy or self._reader.partial:
             return False
-        return not self._over and not self._has_arrived()
+        return not self._ended and not self._has_readable_data()
 
     def serve(self) -> None:
-        """Reads until the connection ends."""
+        """Reads and handles requests until the connection ends."""
         set_socket_options(self._socket)
         try:
-            while not self._over:
+            while not self._ended:
                 data = self._receive()
                 if data is None:
                     continue
@@ -185,43 +192,49 @@
                     break
                 self._feed(data)
         finally:
-            if self._worker is not None and not self._over:
+            if self._worker is not None and not self._ended:
                 self._worker.kill(block=False)
             self._socket.close()
 
     def close(self) -> None:
-        """Ends a connection that waits for a request."""
-        self._over = True
+        """Makes an idle connection close at its next check."""
+        self._ended = True
         self._socket.close()
 
     def _receive(self) -> bytes | None:
-        """Returns bytes, nothing at the end, None to look again."""
-        self._socket.settimeout(_TICK_S)
+        """Reads once.
+
+        Returns:
+            The data, empty at the end of the stream, or None if none arrived
+            within the check interval.
+        """
+        self._socket.settimeout(_CHECK_INTERVAL_S)
         try:
             return self._socket.recv(_RECEIVE_BYTES)
         except TimeoutError:
-            self._check_times()
+            self._check_timeouts()
             return None
         except OSError:
             return b""
 
-    def _check_times(self) -> None:
-        """Ends a connection that takes too long, unless bytes have arrived.
+    def _check_timeouts(self) -> None:
+        """Ends a connection whose timeout expired, unless data has arrived.
 
-        Guards against a process that stood still: it wakes when the time is
-        over, and a request that came meanwhile would be reset unread.
+        After the process was suspended, timeouts may have expired although a
+        request arrived meanwhile. Closing the connection would reset that
+        request unread.
         """
         overdue = self._find_overdue()
-        if overdue is None or self._has_arrived():
+        if overdue is None or self._has_readable_data():
             return
         if isinstance(overdue, BadRequest):
             self._refuse(overdue)
         else:
-            self._over = True
+            self._ended = True
 
     def _find_overdue(self) -> BadRequest | IdleTimeout | None:
-        """Returns which of the caller's time limits is over, if any."""
-        if self.busy or self._over:
+        """Returns the timeout that has expired, or None."""
+        if self.busy or self._ended:
             return None
         now_ms = self._clock.now_ms()
         limits = self._limits()
@@ -237,8 +250,8 @@
             what = "body"
         return BadRequest(408, f"{what} came too slowly") if late else None
 
-    def _has_arrived(self) -> bool:
-        """Returns whether bytes, or the caller's end, wait to be read."""
+    def _has_readable_data(self) -> bool:
+        """Returns whether data or an end of stream is ready to be read."""
         ready = select.poll()
         ready.register(self._socket.fileno(), select.POLLIN)
         return bool(ready.poll(0))
@@ -251,29 +264,29 @@
         if self._reader.wants_continue and self._reader.partial:
             self._reader.wants_continue = False
             self._socket.sendall(b"HTTP/1.1 100 Continue\r\n\r\n")
-        self._waiting.extend(found)
-        if self._waiting and not self.busy:
+        self._queue.extend(found)
+        if self._queue and not self.busy:
             self._worker = gevent.spawn(self._work)
 
     def _work(self) -> None:
-        """Answers requests until none is waiting."""
-        while self._waiting:
-            request = self._waiting.popleft()
+        """Handles queued requests until the queue is empty."""
+        while self._queue:
+            request = self._queue.popleft()
             reply = Reply(self._socket, request, self._closing())
-            # A caller that is gone needs no answer; its connection ends.
+            # The response is dropped and the connection ends.
             with contextlib.suppress(CallerDisconnectedError):
                 self._handler(request, reply)
             if not reply.reusable:
-                self._over = True
-                self._shut()
+                self._ended = True
+                self._shut_down_writing()
                 return
             self._idle_since_ms = self._clock.now_ms()
 
-    def _shut(self) -> None:
-        """Ends the connection after the last byte of the answer.
+    def _shut_down_writing(self) -> None:
+        """Shuts down the sending direction after the response.
 
-        Guards against a reset: closing while bytes of the caller are unread
-        would make its end drop the answer that it has not read yet.
+        Closing a socket with unread data sends a reset, and the caller's
+        kernel would then discard the part of the response not yet read.
         """
         try:
             self._socket.shutdown(1)
@@ -287,25 +300,30 @@
         reply = Reply(self._socket, request, closing=True)
         with contextlib.suppress(CallerDisconnectedError):
             reply.send(problem.status, [], problem.message.encode())
-        self._over = True
-        self._shut()
+        self._ended = True
+        self._shut_down_writing()
 
 
 def _make_server(address: tuple[str, int], serve) -> server.StreamServer:
-    """Returns a server on the socket that listens already, or on its own."""
-    held = listening.take(address)
-    if held is None:
+    """Returns a server on the address.
+
+    Uses the socket that was opened while the program was loading, if any.
+    """
+    early_socket = listening.take(address)
+    if early_socket is None:
         return server.StreamServer(address, serve, backlog=listening.BACKLOG)
-    return server.StreamServer(socket.socket(fileno=held.detach()), serve)
+    return server.StreamServer(
+        socket.socket(fileno=early_socket.detach()), serve
+    )
 
 
 class HttpServer:
-    """Listens for callers.
+    """HTTP server on one address.
 
     Args:
         address: Host and port.
-        handler: Answers one request.
-        limits: Returns the limits now in force.
+        handler: Function that responds to one request.
+        limits: Function that returns the limits in force.
         clock: Source of time.
     """
 
@@ -325,34 +343,34 @@
 
     @property
     def address(self) -> tuple[str, int]:
-        """Where it listens."""
+        """Host and port of the listening socket."""
         return self._server.address
 
     @property
     def busy(self) -> int:
-        """Requests that are being answered."""
+        """Number of connections whose request is being handled."""
         return sum(c.busy for c in self._connections)
 
     def listen(self) -> None:
-        """Begins to listen; connections wait until the server starts."""
+        """Opens the listening socket; connections queue until `start`."""
         self._server.init_socket()
 
     def start(self) -> None:
-        """Begins to answer."""
+        """Begins to accept connections."""
         self._server.start()
 
     def close_after_responses(self) -> None:
-        """Lets each connection end after its answer."""
+        """Makes each connection close after its next response."""
         self._closing = True
 
     def close_idle(self) -> None:
-        """Ends connections that wait for a request."""
+        """Closes connections without a request in progress."""
         for connection in list(self._connections):
             if connection.idle:
                 connection.close()
 
     def stop_listening(self) -> None:
-        """Takes no more connections; those that are open go on."""
+        """Closes the listening socket; open connections stay open."""
         self._server.close()
 
     def _serve(self, sock, peer) -> None:
@@ -368,7 +386,7 @@
         try:
             connection.serve()
         except OSError:
-            # The caller reset the connection while it was set up.
+            # The caller reset the connection during setup.
             return
         finally:
             self._connections.discard(connection)
--- a/caroblug/gateway/_run_results.py
+++ b/caroblug/gateway/_run_results.py
@@ -1,4 +1,4 @@
-"""How one run of a stream ended."""
+"""Result of one run of a streaming request."""
 
 import enum
 
@@ -11,25 +11,25 @@
 class RunEnd(enum.Enum):
     """How a run ended."""
 
-    WHOLE = "whole"
+    COMPLETE = "whole"
     NOT_SENT = "not_sent"
     NO_PATH = "no_path"
-    TURNED_AWAY = "turned_away"
-    ANSWERED = "answered"
+    REJECTED = "turned_away"
+    ERROR_RESPONSE = "answered"
     LOST = "lost"
     OUT_OF_TIME = "out_of_time"
 
 
 @attrs.frozen
 class RunResult:
-    """How a run ended, and what was seen.
+    """How a run ended, and why.
 
     Attributes:
-        end: How it ended.
-        reason: What was seen, for the log.
-        head: The head of an answer that is no stream.
-        facts: What that head says.
-        body: Its body.
+        end: How the run ended.
+        reason: Why the run failed, for the log and the caller.
+        head: Head of a response that is not a stream.
+        facts: Information decoded from that head.
+        body: Body of that response.
     """
 
     end: RunEnd
--- a/caroblug/gateway/_stream_retry_policy.py
+++ b/caroblug/gateway/_stream_retry_policy.py
@@ -65,7 +65,7 @@
 
     def may_run_again(self, result: RunResult) -> bool:
         """Returns whether a run that ended so may be followed by another."""
-        if result.end in (RunEnd.NOT_SENT, RunEnd.TURNED_AWAY):
+        if result.end in (RunEnd.NOT_SENT, RunEnd.REJECTED):
             return True
         return self._may_begin_anew()
 
--- a/caroblug/gateway/_stream_runner.py
+++ b/caroblug/gateway/_stream_runner.py
@@ -3,7 +3,7 @@
 from caroblug.core.placement import Path
 from caroblug.gateway._connecting import Connecting
 from caroblug.gateway._crash_suspicions import CrashSuspicions
-from caroblug.gateway._events import EventPace, Misordered
+from caroblug.gateway._events import EventPace, OutOfOrderEvent
 from caroblug.gateway._exchange_results import (
     EndOfBody,
     ExchangeFailure,
@@ -154,7 +154,7 @@
                     return RunResult(RunEnd.LOST, "ended inside an event")
                 if not reply.begun:
                     reply.begin(head.status, list(facts.headers))
-                return RunResult(RunEnd.WHOLE)
+                return RunResult(RunEnd.COMPLETE)
             if isinstance(piece, ExchangeFailure):
                 return self._on_broken(piece)
             if isinstance(piece, ReadTimeout):
@@ -163,7 +163,7 @@
                     return result
                 continue
             events = state.events.feed(piece)
-            if isinstance(events, Misordered):
+            if isinstance(events, OutOfOrderEvent):
                 return RunResult(
                     RunEnd.LOST,
                     f"event {events.found} instead of {events.expected}",
@@ -189,7 +189,7 @@
         if not isinstance(body, bytes):
             return RunResult(RunEnd.LOST, f"failure {head.status} not whole")
         return RunResult(
-            RunEnd.ANSWERED, f"answered {head.status}", head, facts, body
+            RunEnd.ERROR_RESPONSE, f"answered {head.status}", head, facts, body
         )
 
     # What went wrong.
@@ -239,7 +239,7 @@
         fleet.on_full(name, state.now_ms)
         if at_fault is not None:
             self._context.ask_about.add(at_fault.name)
-        return RunResult(RunEnd.TURNED_AWAY, f"{reason} by {name}")
+        return RunResult(RunEnd.REJECTED, f"{reason} by {name}")
 
     def _on_quiet(self, look_s: float) -> RunResult | None:
         """Looks into a run that has paused; returns how it ends, if it does.
--- a/caroblug/gateway/_streams.py
+++ b/caroblug/gateway/_streams.py
@@ -128,7 +128,7 @@
             self._policy.on_run()
             result = self._runner.run(self, path)
             self._note(result)
-            if result.end in (RunEnd.WHOLE, RunEnd.OUT_OF_TIME):
+            if result.end in (RunEnd.COMPLETE, RunEnd.OUT_OF_TIME):
                 break
             if not self._policy.may_run_again(result):
                 break
@@ -163,7 +163,7 @@
     def _finish(self, result: RunResult) -> None:
         pending = self._state.pending
         reply = pending.reply
-        if result.end is RunEnd.WHOLE:
+        if result.end is RunEnd.COMPLETE:
             self._responses.log(pending, 200)
             reply.finish()
         elif reply.begun:
@@ -171,7 +171,7 @@
             # the caller can't take what it has for all there is.
             reply.end_connection()
             self._responses.log(pending, 200, result.reason, cut=True)
-        elif result.end is RunEnd.ANSWERED:
+        elif result.end is RunEnd.ERROR_RESPONSE:
             self._responses.log(pending, result.head.status, "engine's answer")
             reply.send(
                 result.head.status, list(result.facts.headers), result.body
@@ -186,7 +186,7 @@
             self._responses.refuse(pending, result.reason)
 
     def _note(self, result: RunResult) -> None:
-        if result.end is RunEnd.WHOLE:
+        if result.end is RunEnd.COMPLETE:
             return
         state = self._state
         state.times.note(result.reason, state.lost or state.path.first.name)
--- a/caroblug/gateway/_throttle.py
+++ b/caroblug/gateway/_throttle.py
@@ -1,11 +1,11 @@
-"""Keeping a distance between questions to one backend server."""
+"""Rate limit on repeated actions, such as probes of one backend server."""
 
 
 class Throttle:
-    """Allows something once in a while for each name.
+    """Enforces a minimum interval between actions on the same name.
 
     Args:
-        min_interval_ms: Shortest time between two for one name.
+        min_interval_ms: Shortest time between two actions on one name.
     """
 
     def __init__(self, min_interval_ms: int) -> None:
@@ -13,16 +13,16 @@
         self._last_ms: dict[str, int] = {}
 
     def allows(self, name: str, now_ms: int) -> bool:
-        """Returns whether it is time again, and notes it if it is."""
+        """Returns whether an action is allowed now, and records it if so."""
         last_ms = self._last_ms.get(name)
         if last_ms is not None and now_ms - last_ms < self._min_interval_ms:
             return False
-        self._forget_old(now_ms)
+        self._remove_expired(now_ms)
         self._last_ms[name] = now_ms
         return True
 
-    def _forget_old(self, now_ms: int) -> None:
-        """Drops names that are due, so that names of the past don't add up."""
+    def _remove_expired(self, now_ms: int) -> None:
+        """Removes expired names so that the table doesn't grow without end."""
         for name, last_ms in list(self._last_ms.items()):
             if now_ms - last_ms >= self._min_interval_ms:
                 del self._last_ms[name]
--- a/caroblug/gateway/tests/test_caller_requests.py
+++ b/caroblug/gateway/tests/test_caller_requests.py
@@ -1,4 +1,4 @@
-"""Bytes of callers' connections: whole requests, bad ones, limits."""
+"""Tests of request parsing: framing, malformed requests and size limits."""
 
 import hypothesis
 import hypothesis.strategies as st
@@ -43,9 +43,9 @@
 
 
 @hypothesis.given(st.lists(st.integers(0, len(POST + CHUNKED)), max_size=6))
-def test_any_cuts_give_the_same_requests(cuts):
+def test_any_split_of_the_bytes_gives_the_same_requests(splits):
     data = POST + CHUNKED
-    edges = sorted({0, len(data), *cuts})
+    edges = sorted({0, len(data), *splits})
     reader = make_reader()
     found = []
     for start, end in zip(edges, edges[1:], strict=False):
@@ -55,7 +55,7 @@
 
 
 def test_header_that_never_ends_is_refused():
-    # Guards against headers without an end that use up the gateway's memory.
+    # Guards against endless headers that exhaust the gateway's memory.
     reader = make_reader(header_bytes=100)
     result = reader.feed(b"GET / HTTP/1.1\r\n", 0)
     for _ in range(20):
@@ -77,11 +77,11 @@
     assert make_reader().feed(chunked, 0).status == 413
 
 
-def test_what_is_not_http_is_refused():
+def test_bytes_that_are_not_http_are_refused():
     assert make_reader().feed(b"\x16\x03\x01 hello\r\n\r\n", 0).status == 400
 
 
-def test_two_framings_at_once_are_refused():
+def test_content_length_with_chunked_encoding_is_refused():
     # Guards against request smuggling by two framings of one request.
     smuggled = (
         b"POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n"
@@ -91,7 +91,7 @@
     assert make_reader().feed(smuggled, 0).status == 400
 
 
-def test_partial_request_is_known_as_one():
+def test_partial_request_is_reported():
     reader = make_reader()
     reader.feed(POST[:20], 3)
 
--- a/caroblug/gateway/tests/test_events.py
+++ b/caroblug/gateway/tests/test_events.py
@@ -1,16 +1,16 @@
-"""Events of a stream: whole, in order, once each, over several runs."""
+"""Tests that a stream's events are complete, ordered and unique over runs."""
 
 import hypothesis
 import hypothesis.strategies as st
 
-from caroblug.gateway._events import EventPace, EventSequence, Misordered
+from caroblug.gateway._events import EventPace, EventSequence, OutOfOrderEvent
 
 
 def event(number: int) -> bytes:
     return b"id: %d\ndata: token %d\n\n" % (number, number)
 
 
-def test_only_whole_events_are_passed_on():
+def test_only_complete_events_are_forwarded():
     events = EventSequence()
 
     assert events.feed(event(1) + b"id: 2\nda") == [event(1)]
@@ -20,8 +20,9 @@
     assert events.last_id == 2
 
 
-def test_half_an_event_of_a_broken_run_is_dropped():
-    # Guards against half an event, or one sent twice, after an engine's death.
+def test_incomplete_event_of_a_failed_run_is_discarded():
+    # Guards against a partial or duplicate event after an engine has crashed
+    # in the middle of one.
     events = EventSequence()
     events.feed(event(1) + b"id: 2\nda")
 
@@ -30,38 +31,38 @@
     assert events.feed(event(2)) == [event(2)]
 
 
-def test_events_that_the_caller_has_are_left_out():
+def test_events_that_the_caller_already_has_are_skipped():
     events = EventSequence(last_id=3)
 
     assert events.feed(event(2) + event(3) + event(4)) == [event(4)]
 
 
-def test_gap_is_seen():
+def test_missing_event_is_detected():
     events = EventSequence(last_id=3)
 
-    assert events.feed(event(5)) == Misordered(expected=4, found=5)
+    assert events.feed(event(5)) == OutOfOrderEvent(expected=4, found=5)
 
 
 runs = st.tuples(st.integers(0, 3), st.integers(0, 300), st.integers(0, 300))
 
 
 @hypothesis.given(st.lists(runs, max_size=6))
-def test_any_cuts_and_resumed_runs_give_each_event_once(broken_runs):
+def test_any_split_and_resumed_runs_give_each_event_once(failed_runs):
     total = 12
     events = EventSequence()
-    passed = []
-    for back, first_cut, second_cut in [*broken_runs, (0, 0, 10_000)]:
+    forwarded = []
+    for back, first_cut, second_cut in [*failed_runs, (0, 0, 10_000)]:
         events.begin_run()
         start = max(1, (events.last_id or 0) + 1 - back)
         stream = b"".join(event(n) for n in range(start, total + 1))
         cut = min(first_cut, second_cut)
         for part in (stream[:cut], stream[cut : max(first_cut, second_cut)]):
-            passed.extend(events.feed(part))
+            forwarded.extend(events.feed(part))
 
-    assert passed == [event(n) for n in range(1, total + 1)]
+    assert forwarded == [event(n) for n in range(1, total + 1)]
 
 
-def test_gap_is_told_once_a_run_has_shown_it():
+def test_mean_gap_is_reported_after_enough_events():
     pace = EventPace()
     for _ in range(11):
         pace.add(1, 30)
@@ -72,7 +73,7 @@
     assert 29.0 < pace.gap_ms < 30.5
 
 
-def test_events_that_came_together_count_for_their_number():
+def test_gap_is_divided_among_events_that_arrived_together():
     pace = EventPace()
     for _ in range(40):
         pace.add(2, 60)
--- a/caroblug/gateway/tests/test_http_client.py
+++ b/caroblug/gateway/tests/test_http_client.py
@@ -1,4 +1,4 @@
-"""Calls over one new connection each."""
+"""Tests of the HTTP client."""
 
 import gevent
 from gevent import server
@@ -7,8 +7,9 @@
 from caroblug.gateway._exchange_results import FailureKind
 
 
-def test_answer_that_comes_byte_by_byte_without_an_end_is_given_up():
-    # Guards against loops that one trickling answer holds up for good.
+def test_response_that_trickles_in_without_end_times_out():
+    # Guards against a response that arrives byte by byte, resets the timeout
+    # of each read, and blocks the loop that waits for it forever.
     def trickle(sock, peer):
         sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n")
         while True:
--- a/caroblug/gateway/tests/test_http_server.py
+++ b/caroblug/gateway/tests/test_http_server.py
@@ -1,4 +1,4 @@
-"""Callers' connections that are kept, idle and ended."""
+"""Tests of keep-alive, idle and closing connections."""
 
 import gevent
 import pytest
@@ -12,23 +12,23 @@
 
 
 @pytest.fixture
-def kept():
-    """A connection that is kept, the caller's end of it, and the clock."""
+def keep_alive():
+    """Yields an open connection, the caller's socket, and the clock."""
     listener = socket.socket()
     listener.bind(("127.0.0.1", 0))
     listener.listen()
-    far = socket.create_connection(listener.getsockname())
-    near, _ = listener.accept()
+    caller = socket.create_connection(listener.getsockname())
+    accepted, _ = listener.accept()
     clock = ManualClock(100_000)
     connection = Connection(
-        near,
+        accepted,
         lambda request, reply: reply.send(200, [], b"served"),
         RequestLimits,
         clock,
         lambda: False,
     )
-    yield connection, far, clock
-    far.close()
+    yield connection, caller, clock
+    caller.close()
     listener.close()
 
 
@@ -36,46 +36,50 @@
     return gevent.spawn(connection.serve)
 
 
-def test_request_that_came_while_the_process_stood_still_is_served(kept):
-    # Guards against a reset of a request that waits when idle time is over.
-    connection, far, clock = kept
-    far.sendall(REQUEST)
+def test_request_received_while_the_process_was_suspended_is_served(keep_alive):
+    # Guards against a reset of a request that arrived before the suspended
+    # process found the idle timeout expired.
+    connection, caller, clock = keep_alive
+    caller.sendall(REQUEST)
     clock.advance(RequestLimits().idle_ms + 1000)
 
-    connection._check_times()
+    connection._check_timeouts()
     serve(connection)
 
-    assert far.recv(1000).endswith(b"served")
+    assert caller.recv(1000).endswith(b"served")
 
 
-def test_headers_that_came_while_the_process_stood_still_are_taken(kept):
-    # Guards against 408 for a caller who was not slow.
-    connection, far, clock = kept
+def test_headers_received_while_the_process_was_suspended_are_accepted(
+    keep_alive,
+):
+    # Guards against status 408 for a caller that was on time while the gateway
+    # was suspended.
+    connection, caller, clock = keep_alive
     connection._feed(REQUEST[:9])
-    far.sendall(REQUEST[9:])
+    caller.sendall(REQUEST[9:])
     clock.advance(RequestLimits().header_ms + 1000)
 
-    connection._check_times()
+    connection._check_timeouts()
     serve(connection)
 
-    assert far.recv(1000).endswith(b"served")
+    assert caller.recv(1000).endswith(b"served")
 
 
-def test_connection_with_a_waiting_request_is_not_idle(kept):
-    # Guards against a drain that resets a request which has just arrived.
-    connection, far, _ = kept
+def test_connection_with_an_unread_request_is_not_idle(keep_alive):
+    # Guards against draining that resets a request which has just arrived.
+    connection, caller, _ = keep_alive
     assert connection.idle
 
-    far.sendall(REQUEST)
+    caller.sendall(REQUEST)
 
     assert not connection.idle
 
 
-def test_idle_connection_is_ended_when_its_time_is_over(kept):
-    connection, far, clock = kept
+def test_idle_connection_is_closed_after_its_timeout(keep_alive):
+    connection, caller, clock = keep_alive
     clock.advance(RequestLimits().idle_ms + 1000)
 
-    connection._check_times()
+    connection._check_timeouts()
     serve(connection)
 
-    assert far.recv(1000) == b""
+    assert caller.recv(1000) == b""
