--- a/caroblug/gateway/_crash_suspicions.py
+++ b/caroblug/gateway/_crash_suspicions.py
@@ -1,9 +1,9 @@
-"""Requests that crash the backend servers which run them.
+"""Quarantine of requests that crash the backend servers running them.
 
-Recovery would bring such a request to one backend server after the other, and
-its caller sends it again, to any gateway. A request that was on a backend
-server when its process ended is suspected of that crash; gateways tell each
-other, and one that is suspected of three crashes runs no more.
+Recovery would send such a request to one backend server after another, and its
+caller retries it at any gateway. A request that was running on a backend server
+when the server's process ended is suspected of that crash. Gateways exchange
+their suspicions, and a request suspected of three crashes is refused.
 """
 
 import hashlib
@@ -16,22 +16,24 @@
 from caroblug.utils import Clock
 
 QUARANTINE_CRASHES = 3
-"""Two would quarantine a request that met two unrelated crashes, which on a
-bad day happens to one in some thousand; four would cost a fourth engine."""
+"""Crashes after which a request is quarantined. With two, a request hit by two
+unrelated crashes would be quarantined, which on a bad day happens to about one
+request in a thousand; with four, each such request crashes a fourth engine."""
 
-_REMEMBERED_MS = 120_000
-"""How long a crash counts: callers come back within their deadline of 20 s."""
+_SUSPICION_TTL_MS = 120_000
+"""Time for which a suspicion counts; callers retry within their deadline of
+20 s."""
 
-_PROBE_S = 0.25
-_MOST_TOLD = 50
+_PROBE_TIMEOUT_S = 0.25
+_MAX_SHARED_SUSPICIONS = 50
 
 
 class CrashSuspicions:
-    """Suspicions of one gateway.
+    """Suspicions known to one gateway.
 
     Args:
         clock: Source of time.
-        fleet: Backend servers, which name their starts.
+        fleet: Backend servers, whose start times identify crashes.
     """
 
     def __init__(self, clock: Clock, fleet: Fleet) -> None:
@@ -40,7 +42,7 @@
         self._suspicions = Suspicions(QUARANTINE_CRASHES)
 
     def is_quarantined(self, pending: PendingRequest) -> bool:
-        """Returns whether a request may not run."""
+        """Returns whether a request must not run."""
         if not len(self._suspicions):
             return False
         verdict = self._suspicions.verdict(
@@ -51,20 +53,22 @@
     def on_connection_lost(
         self, pending: PendingRequest, name: str, address: Address
     ) -> bool:
-        """Suspects a request whose connection broke, if a process ended.
+        """Suspects a request that lost its connection if the process ended.
+
+        The process has ended if its port refuses connections. A backend server
+        that only broke off one response still listens, and one that is cut off
+        refuses nothing.
 
         Args:
             pending: The request.
-            name: The backend server's name.
-            address: Where it answered.
+            name: Name of the backend server.
+            address: Host and port of the backend server.
 
         Returns:
-            Whether the process has ended: nobody listens there any more. A
-            backend server that merely broke off an answer goes on listening,
-            and one that is cut off refuses nothing.
+            Whether the process has ended.
         """
         exchange = Exchange(address)
-        problem = exchange.connect(_PROBE_S)
+        problem = exchange.connect(_PROBE_TIMEOUT_S)
         exchange.close()
         if problem is None or problem.failure is not FailureKind.REFUSED:
             return False
@@ -72,56 +76,60 @@
         return True
 
     def on_process_ended(self, pending: PendingRequest, name: str) -> None:
-        """Suspects a request that was on a backend server as it ended."""
+        """Suspects a request that was on a backend server when it ended."""
         self._suspicions.on_suspicion(
             Suspicion(
                 fingerprint(pending),
                 pending.account or "",
-                self._name_crash(name),
+                self._make_crash_id(name),
                 0,
                 False,
-                _REMEMBERED_MS,
+                _SUSPICION_TTL_MS,
             ),
             self._clock.now_ms(),
         )
 
-    def _name_crash(self, name: str) -> str:
-        """Names the end of one start of a backend server.
+    def _make_crash_id(self, name: str) -> str:
+        """Returns an id for the crash of one process of a backend server.
 
-        Guards against equal requests of many callers: when a backend server
-        ends for another reason with several of them on it, each would count
-        as a crash, and all callers of a popular request would be refused.
+        The id doesn't depend on the request. If a backend server with several
+        equal requests on it ends for another reason, that counts as one crash.
+        Otherwise all callers of a popular request would be refused.
         """
         listed = self._fleet.listing.backends.get(name)
         return f"{name}/{listed.started_ms if listed else 0}"
 
     def export(self) -> list[list]:
-        """Returns what other gateways should know."""
+        """Returns the latest suspicions in the form sent to other gateways."""
         known = self._suspicions.suspected(self._clock.now_ms())
         return [
             [s.fingerprint, s.client_account, s.crash, s.remaining_ms]
-            for s in known[-_MOST_TOLD:]
+            for s in known[-_MAX_SHARED_SUSPICIONS:]
         ]
 
-    def merge(self, told: list) -> None:
-        """Takes what another gateway knows."""
+    def merge(self, suspicions: list) -> None:
+        """Adds the suspicions received from another gateway.
+
+        Args:
+            suspicions: Suspicions in the form that `export` returns.
+        """
         now_ms = self._clock.now_ms()
-        for print_, account, crash, remaining_ms in told:
+        for digest, account, crash, remaining_ms in suspicions:
             self._suspicions.on_suspicion(
                 Suspicion(
-                    str(print_),
+                    str(digest),
                     str(account),
                     str(crash),
                     0,
                     False,
-                    min(int(remaining_ms), _REMEMBERED_MS),
+                    min(int(remaining_ms), _SUSPICION_TTL_MS),
                 ),
                 now_ms,
             )
 
 
 def fingerprint(pending: PendingRequest) -> str:
-    """Returns what equal requests of one client account have in common."""
+    """Returns a digest that equal requests of one client account share."""
     digest = hashlib.blake2b(digest_size=12)
     for part in (
         (pending.account or "").encode(),
--- a/caroblug/gateway/_pending_request.py
+++ b/caroblug/gateway/_pending_request.py
@@ -1,4 +1,4 @@
-"""One caller's request on its way to an answer."""
+"""State of a caller's request and the responses that the gateway generates."""
 
 import attrs
 
@@ -10,39 +10,41 @@
 from caroblug.gateway._timeliness import Timeliness
 
 NO_CAPACITY_RETRY_AFTER_MS = 700
-"""Mean time after which a request that found no room is asked to come back:
-a third of what a caller of a two-second objective may wait."""
+"""Mean retry delay sent with a refusal for lack of capacity: a third of the
+time that a caller with an objective of two seconds may wait."""
 
 NO_ENGINES_RETRY_AFTER_MS = 2500
-"""The same where layers are held by nobody: the time in which a lost engine
-is missed, its layers are ordered elsewhere and loaded."""
+"""Mean retry delay while no engine serves a layer: the time in which the loss
+of an engine is detected and its layers are ordered from another engine and
+loaded."""
 
 LEAVING_RETRY_AFTER_MS = 150
-"""The same for a gateway that leaves: another one takes the request."""
+"""Mean retry delay from a draining gateway; another gateway takes the
+request."""
 
 QUARANTINE_RETRY_AFTER_MS = 60_000
-"""The same for a request that has crashed backend servers; sooner it would
-only be refused again."""
+"""Mean retry delay for a quarantined request; an earlier retry would only be
+refused again."""
 
 UNREADY_RETRY_AFTER_MS = 400
-"""The same for a gateway that doesn't know the configuration yet; it reads it
-within some tens of ms of its start."""
+"""Mean retry delay from a gateway that has no configuration yet; it reads the
+configuration within some tens of ms of its start."""
 
 
 @attrs.define
 class PendingRequest:
-    """One request, with what was decided about it so far.
+    """An admitted request and the state of its attempts.
 
     Attributes:
-        request: As it was read.
-        caller: What it says.
-        admitted: Where it goes.
-        reply: Its answer.
-        end_ms: When its time is over.
-        sends: Times it was sent.
-        ran: Times it may have run.
-        tried: Backend servers that it was sent to.
-        timeliness: When events came; None if it is no stream.
+        request: The request as received.
+        caller: Decoded content of the request.
+        admitted: Route and service of the request, and its client account.
+        reply: Writer of the response.
+        end_ms: Deadline of the request.
+        sends: Number of times it was sent.
+        ran: Number of times it may have run.
+        tried: Names of the backend servers that it was sent to.
+        timeliness: Times of the stream's events; None for a plain call.
     """
 
     request: RawRequest
@@ -56,11 +58,11 @@
     timeliness: Timeliness | None = None
 
     def left_ms(self, now_ms: int) -> int:
-        """Returns the time left, in ms."""
+        """Returns the time until the deadline, in ms."""
         return self.end_ms - now_ms
 
     def on_send(self, context: Context) -> None:
-        """Counts a send; the first one earns a part of a later repeat."""
+        """Counts a send; the first one adds to the retry budget."""
         if not self.sends:
             context.repeats.on_first(
                 self.admitted.service.name, context.clock.now_ms()
@@ -69,16 +71,16 @@
 
     @property
     def account(self) -> str | None:
-        """Name of the client account."""
+        """Name of the client account; None on a public route."""
         account = self.admitted.account
         return account.name if account else None
 
 
 class GatewayResponses:
-    """Answers that the gateway gives by itself.
+    """Responses that the gateway generates itself.
 
     Args:
-        context: What the gateway's parts share.
+        context: State shared by the gateway's components.
     """
 
     def __init__(self, context: Context) -> None:
@@ -90,26 +92,33 @@
         reason: str,
         mean_ms: int = NO_CAPACITY_RETRY_AFTER_MS,
     ) -> None:
-        """Answers that the request has not run, and when to come back.
+        """Refuses a request with status 503 and a retry delay.
 
-        If it may have run, the answer says nothing of the kind.
+        The response states that the request has not run. If it may have run,
+        the response is a failure with status 502 instead.
 
         Args:
             pending: The request.
-            reason: Why, for the caller and the log.
-            mean_ms: Mean time after which to come back.
+            reason: Why it is refused, for the caller and the log.
+            mean_ms: Mean retry delay.
         """
         if pending.ran:
             self.fail(pending, 502, reason)
             return
         after_ms = self._context.retry_after.ms(mean_ms)
-        self._end(pending, 503, reason, after_ms)
+        self._send(pending, 503, reason, after_ms)
 
     def fail(self, pending: PendingRequest, status: int, reason: str) -> None:
-        """Answers 502 or 504: the request may have run."""
-        self._end(pending, status, reason, None)
+        """Fails a request that may have run.
 
-    def _end(
+        Args:
+            pending: The request.
+            status: 502 or 504.
+            reason: Why it failed, for the caller and the log.
+        """
+        self._send(pending, status, reason, None)
+
+    def _send(
         self,
         pending: PendingRequest,
         status: int,
@@ -127,13 +136,13 @@
         reason: str = "",
         cut: bool = False,
     ) -> None:
-        """Writes the request's line and counts it.
+        """Logs the result of a request and counts it in the metrics.
 
         Args:
             pending: The request.
-            status: Status that the caller got.
-            reason: Why, if it failed.
-            cut: Whether the answer ended before it was whole.
+            status: Status sent to the caller.
+            reason: Why the request failed, if it did.
+            cut: Whether the response ended before it was complete.
         """
         context = self._context
         now_ms = context.clock.now_ms()
@@ -158,19 +167,19 @@
             tried=sorted(pending.tried),
             configuration=pending.admitted.version,
             backends_age_ms=context.fleet.age_ms(now_ms),
-            **_describe(pending),
+            **_timing_fields(pending),
         )
 
 
-def _describe(pending: PendingRequest) -> dict[str, str | int | None]:
-    """Returns what a line says of the times of a stream's events."""
-    times = pending.timeliness
-    if times is None:
+def _timing_fields(pending: PendingRequest) -> dict[str, str | int | None]:
+    """Returns the log fields about the timing of a stream's events."""
+    timeliness = pending.timeliness
+    if timeliness is None:
         return {}
     return {
-        "first_ms": times.first_ms,
-        "pause_ms": times.pause_ms,
-        "late": times.late_by(pending.admitted.route),
-        "cause": times.cause,
-        "engine": times.engine,
+        "first_ms": timeliness.first_ms,
+        "pause_ms": timeliness.pause_ms,
+        "late": timeliness.late_by(pending.admitted.route),
+        "cause": timeliness.cause,
+        "engine": timeliness.engine,
     }
--- a/caroblug/gateway/_plain_calls.py
+++ b/caroblug/gateway/_plain_calls.py
@@ -1,4 +1,4 @@
-"""Calls of plain services: one answer, taken whole before it is passed on."""
+"""Plain calls, whose response is read completely before it is forwarded."""
 
 import enum
 
@@ -24,39 +24,39 @@
 from caroblug.gateway._pending_request import GatewayResponses, PendingRequest
 from caroblug.gateway._shared_retry_budget import SharedRetryBudget
 
-_MOST_SENDS = 4
-"""Sends of one request, those that were turned away included."""
+_MAX_SENDS = 4
+"""Maximum number of sends of one request, including rejected ones."""
 
-_PATIENCE = 0.45
-"""Share of the time left that a repeatable call waits at one backend server
-before it is tried at another, as long as another try is allowed."""
+_RETRYABLE_WAIT_SHARE = 0.45
+"""Share of the remaining time that an idempotent call waits for one backend
+server while another attempt is still allowed."""
 
-_ERROR = 500
+_MIN_ERROR_STATUS = 500
 
 
-class Next(enum.Enum):
-    """What follows a try."""
+class AttemptOutcome(enum.Enum):
+    """Outcome of an attempt to run a call on one backend server."""
 
     ANSWERED = "answered"
-    TURNED_AWAY = "turned_away"
+    REJECTED = "turned_away"
     NOT_SENT = "not_sent"
     FAILED = "failed"
-    SILENT = "silent"
+    TIMED_OUT = "silent"
 
 
 @attrs.frozen
-class Tried:
-    """What came of one try.
+class AttemptResult:
+    """Result of one attempt.
 
     Attributes:
-        next: What follows.
-        reason: What was seen, for the log.
-        head: The answer's head, if there was one.
-        facts: What the head says.
-        body: The answer's body, if it is whole.
+        outcome_kind: Outcome of the attempt.
+        reason: Why the attempt failed, for the log and the caller.
+        head: Head of the response, if the attempt was answered.
+        facts: Information decoded from the head.
+        body: Body of the response, if the attempt was answered.
     """
 
-    next: Next
+    outcome_kind: AttemptOutcome
     reason: str = ""
     head: ResponseHead | None = None
     facts: AnswerFacts | None = None
@@ -64,12 +64,12 @@
 
 
 class PlainCallHandler:
-    """Answers calls.
+    """Forwards plain calls to backend servers and retries failed attempts.
 
     Args:
-        context: What the gateway's parts share.
-        crashes: Requests that crash backend servers.
-        retry_budget: Allows requests to be sent once more.
+        context: State shared by the gateway's components.
+        crashes: Suspicions against requests that crash backend servers.
+        retry_budget: Budget that retries are taken from.
     """
 
     def __init__(
@@ -84,11 +84,11 @@
         self._responses = GatewayResponses(context)
 
     def serve(self, pending: PendingRequest) -> None:
-        """Answers one call, at the end of its time at the latest."""
+        """Responds to a call by its deadline at the latest."""
         clock = self._context.clock
         repeatable = pending.admitted.route.repeatable
-        last = Tried(Next.NOT_SENT, "no backend server")
-        while pending.sends < _MOST_SENDS:
+        last = AttemptResult(AttemptOutcome.NOT_SENT, "no backend server")
+        while pending.sends < _MAX_SENDS:
             if pending.left_ms(clock.now_ms()) <= 0:
                 break
             backend = self._context.fleet.choose_backend(
@@ -100,50 +100,56 @@
                 pending.admitted.service.name
             ):
                 break
-            tried = self._try(pending, backend)
-            if tried.next is Next.ANSWERED and not self._worth_another(
-                pending, tried
+            result = self._attempt(pending, backend)
+            if (
+                result.outcome_kind is AttemptOutcome.ANSWERED
+                and not self._should_retry(pending, result)
             ):
-                self._pass_on(pending, tried)
+                self._forward(pending, result)
                 return
-            last = _better(last, tried)
-            lost = tried.next in (Next.FAILED, Next.SILENT)
-            if lost and not repeatable:
+            last = _select_result(last, result)
+            failed = result.outcome_kind in (
+                AttemptOutcome.FAILED,
+                AttemptOutcome.TIMED_OUT,
+            )
+            if failed and not repeatable:
                 break
             if pending.ran >= pending.admitted.route.max_attempts:
                 break
             if self._crashes.is_quarantined(pending):
                 break
-        self._give_up(pending, last)
+        self._finish(pending, last)
 
-    def _try(self, pending: PendingRequest, backend: BackendServer) -> Tried:
-        """Sends the call to one backend server and waits for its answer."""
+    def _attempt(
+        self, pending: PendingRequest, backend: BackendServer
+    ) -> AttemptResult:
+        """Sends the call to one backend server and waits for the response."""
         context = self._context
         pending.tried.add(backend.name)
         exchange = Exchange(backend.address)
         context.fleet.enter(backend.name)
         try:
-            tried = self._exchange(pending, backend, exchange)
+            result = self._exchange(pending, backend, exchange)
         finally:
             exchange.close()
             context.fleet.leave(backend.name)
-        if tried.next is not Next.ANSWERED:
-            context.tallies.count("tries_failed", reason=tried.reason)
+        if result.outcome_kind is not AttemptOutcome.ANSWERED:
+            context.tallies.count("tries_failed", reason=result.reason)
             context.log.write(
                 "call.try_failed",
                 request=pending.caller.id,
                 backend_server=backend.name,
-                outcome=tried.next.value,
-                reason=tried.reason,
+                outcome=result.outcome_kind.value,
+                reason=result.reason,
             )
-        return tried
+        return result
 
     def _exchange(
         self,
         pending: PendingRequest,
         backend: BackendServer,
         exchange: Exchange,
-    ) -> Tried:
+    ) -> AttemptResult:
         context = self._context
         clock = context.clock
         left_s = pending.left_ms(clock.now_ms()) / 1000
@@ -151,56 +157,66 @@
         if problem is None:
             pending.on_send(self._context)
             data = self._encode(pending, backend)
-            problem = exchange.send(data, left_s, self._bodiless(pending))
+            problem = exchange.send(data, left_s, self._is_bodiless(pending))
         if problem is not None:
-            return self._on_broken(pending, backend, problem)
-        head = exchange.read_head(self._patience_s(pending))
+            return self._on_exchange_failure(pending, backend, problem)
+        head = exchange.read_head(self._response_timeout_s(pending))
         if isinstance(head, ReadTimeout):
             pending.ran += 1
-            return Tried(Next.SILENT, "no answer in time")
+            return AttemptResult(AttemptOutcome.TIMED_OUT, "no answer in time")
         if isinstance(head, ExchangeFailure):
-            return self._on_broken(pending, backend, head)
+            return self._on_exchange_failure(pending, backend, head)
         facts = context.dialect.decode_answer(head)
         context.fleet.on_answer(
             backend.name, facts.running, facts.waiting, clock.now_ms()
         )
         if facts.run is RunState.NOT_RUN:
             context.fleet.on_full(backend.name, clock.now_ms())
-            return Tried(Next.TURNED_AWAY, f"turned away with {head.status}")
+            return AttemptResult(
+                AttemptOutcome.REJECTED, f"turned away with {head.status}"
+            )
         pending.ran += 1
         left_s = pending.left_ms(clock.now_ms()) / 1000
         body = exchange.read_body(left_s)
         if isinstance(body, ReadTimeout):
-            return Tried(Next.SILENT, "body not whole in time")
+            return AttemptResult(
+                AttemptOutcome.TIMED_OUT, "body not whole in time"
+            )
         if isinstance(body, ExchangeFailure):
-            return Tried(Next.FAILED, f"body {body.failure.value}")
+            return AttemptResult(
+                AttemptOutcome.FAILED, f"body {body.failure.value}"
+            )
         if facts.request_id != pending.caller.id:
-            # An answer to something else says nothing about this request.
-            return Tried(Next.FAILED, FailureKind.WRONG_ANSWER.value)
+            # A response to another request says nothing about this one.
+            return AttemptResult(
+                AttemptOutcome.FAILED, FailureKind.WRONG_ANSWER.value
+            )
         if not facts.genuine:
-            return Tried(Next.FAILED, f"unproved answer {head.status}")
-        return Tried(Next.ANSWERED, "", head, facts, body)
+            return AttemptResult(
+                AttemptOutcome.FAILED, f"unproved answer {head.status}"
+            )
+        return AttemptResult(AttemptOutcome.ANSWERED, "", head, facts, body)
 
-    def _on_broken(
+    def _on_exchange_failure(
         self,
         pending: PendingRequest,
         backend: BackendServer,
-        broken: ExchangeFailure,
-    ) -> Tried:
+        problem: ExchangeFailure,
+    ) -> AttemptResult:
         context = self._context
-        if seems_gone(broken.failure):
+        if seems_gone(problem.failure):
             for_ms = context.fleet.avoid(backend.name, context.clock.now_ms())
             context.log.write(
                 "backend_server.avoided",
                 backend_server=backend.name,
-                reason=broken.failure.value,
+                reason=problem.failure.value,
                 for_ms=for_ms,
             )
-        if not broken.sent:
-            return Tried(Next.NOT_SENT, broken.failure.value)
+        if not problem.sent:
+            return AttemptResult(AttemptOutcome.NOT_SENT, problem.failure.value)
         pending.ran += 1
         self._crashes.on_connection_lost(pending, backend.name, backend.address)
-        return Tried(Next.FAILED, broken.failure.value)
+        return AttemptResult(AttemptOutcome.FAILED, problem.failure.value)
 
     def _encode(self, pending: PendingRequest, backend: BackendServer) -> bytes:
         sending = Sending(
@@ -214,43 +230,50 @@
             pending.request, pending.caller, sending
         )
 
-    def _bodiless(self, pending: PendingRequest) -> bool:
+    def _is_bodiless(self, pending: PendingRequest) -> bool:
         return pending.request.method == "HEAD"
 
-    def _patience_s(self, pending: PendingRequest) -> float:
+    def _response_timeout_s(self, pending: PendingRequest) -> float:
         left_s = pending.left_ms(self._context.clock.now_ms()) / 1000
         route = pending.admitted.route
         if route.repeatable and pending.ran + 1 < route.max_attempts:
-            return left_s * _PATIENCE
+            return left_s * _RETRYABLE_WAIT_SHARE
         return left_s
 
-    def _worth_another(self, pending: PendingRequest, tried: Tried) -> bool:
-        """Returns whether a failure of the backend server is tried again."""
+    def _should_retry(
+        self, pending: PendingRequest, result: AttemptResult
+    ) -> bool:
+        """Returns whether to retry after an error response."""
         route = pending.admitted.route
         return (
-            tried.head.status >= _ERROR
+            result.head.status >= _MIN_ERROR_STATUS
             and route.repeatable
             and pending.ran < route.max_attempts
         )
 
-    def _pass_on(self, pending: PendingRequest, tried: Tried) -> None:
-        status = tried.head.status
+    def _forward(self, pending: PendingRequest, result: AttemptResult) -> None:
+        status = result.head.status
         self._responses.log(pending, status)
-        pending.reply.send(status, list(tried.facts.headers), tried.body)
+        pending.reply.send(status, list(result.facts.headers), result.body)
 
-    def _give_up(self, pending: PendingRequest, last: Tried) -> None:
-        if last.next is Next.ANSWERED:
-            self._pass_on(pending, last)
+    def _finish(self, pending: PendingRequest, last: AttemptResult) -> None:
+        if last.outcome_kind is AttemptOutcome.ANSWERED:
+            self._forward(pending, last)
         elif not pending.ran:
             self._responses.refuse(pending, last.reason)
-        elif last.next is Next.SILENT:
+        elif last.outcome_kind is AttemptOutcome.TIMED_OUT:
             self._responses.fail(pending, 504, last.reason)
         else:
             self._responses.fail(pending, 502, last.reason)
 
 
-def _better(before: Tried, now: Tried) -> Tried:
-    """Returns what tells the caller more: an answer, else the newest."""
-    if before.next is Next.ANSWERED and now.next is not Next.ANSWERED:
-        return before
-    return now
+def _select_result(
+    previous: AttemptResult, latest: AttemptResult
+) -> AttemptResult:
+    """Returns the result to report: a response if any, else the latest."""
+    if (
+        previous.outcome_kind is AttemptOutcome.ANSWERED
+        and latest.outcome_kind is not AttemptOutcome.ANSWERED
+    ):
+        return previous
+    return latest
--- a/caroblug/gateway/_running_streams.py
+++ b/caroblug/gateway/_running_streams.py
@@ -1,4 +1,4 @@
-"""Streams that run, by the engines on their paths."""
+"""Running streams, grouped by the engines on their paths."""
 
 import abc
 
@@ -10,42 +10,42 @@
 
 
 class RunningStream(abc.ABC):
-    """A stream between the first byte to its first engine and its end."""
+    """A stream whose request has been sent and whose run hasn't ended."""
 
     @property
     @abc.abstractmethod
     def path(self) -> Path:
-        """The path that it runs over."""
+        """Path over which the stream runs."""
 
     @property
     @abc.abstractmethod
     def event_ms(self) -> int:
-        """When its newest event came, or its first one was due."""
+        """Time of the latest event, or when the first one was due."""
 
     @property
     @abc.abstractmethod
     def gap_ms(self) -> float:
-        """Mean time between its latest events; 0 before it is known."""
+        """Mean time between recent events; 0 until it is known."""
 
     @abc.abstractmethod
     def on_engine_lost(self, name: str, ended: bool) -> None:
-        """Goes on without an engine of its path.
+        """Continues the stream without an engine of its path.
 
         Args:
-            name: The engine.
-            ended: Whether its process has ended for certain.
+            name: Name of the engine.
+            ended: Whether the engine's process is known to have ended.
         """
 
 
 @attrs.define
 class EngineUse:
-    """The running streams over one engine.
+    """Use of one engine by the running streams.
 
     Attributes:
         engine: The engine.
-        streams: How many there are.
-        event_ms: When the newest event of any of them came.
-        gap_ms: Shortest mean time between events of any of them; 0 if none
+        streams: Number of streams whose path includes the engine.
+        event_ms: Time of the latest event of any of these streams.
+        gap_ms: Shortest mean time between events of these streams; 0 if none
             is known.
     """
 
@@ -59,7 +59,7 @@
     """The running streams of one gateway.
 
     Args:
-        context: What the gateway's parts share.
+        context: State shared by the gateway's components.
     """
 
     def __init__(self, context: Context) -> None:
@@ -67,15 +67,15 @@
         self._streams: set[RunningStream] = set()
 
     def add(self, stream: RunningStream) -> None:
-        """Adds a stream that begins to run."""
+        """Adds a stream whose run begins."""
         self._streams.add(stream)
 
     def remove(self, stream: RunningStream) -> None:
-        """Takes off a stream whose run has ended."""
+        """Removes a stream whose run has ended."""
         self._streams.discard(stream)
 
     def uses(self) -> list[EngineUse]:
-        """Returns the engines in use."""
+        """Returns the use of each engine on any stream's path."""
         uses: dict[str, EngineUse] = {}
         for stream in self._streams:
             event_ms = stream.event_ms
@@ -92,26 +92,27 @@
         return list(uses.values())
 
     def on_engine_lost(self, engine: Engine, ended: bool) -> None:
-        """Lets all streams over an engine go on without it.
+        """Ejects an engine and continues its streams without it.
 
         Args:
             engine: The engine.
-            ended: Whether its process has ended for certain: what it held is
-                lost, while one that is cut off may come back whole.
+            ended: Whether its process is known to have ended. It then loses
+                what it held, whereas an engine that is only cut off may come
+                back intact.
         """
         context = self._context
         now_ms = context.clock.now_ms()
         if ended:
             context.fleet.on_ended(engine.name)
         for_ms = context.fleet.avoid(engine.name, now_ms)
-        hit = [s for s in self._streams if engine.name in s.path.names]
+        affected = [s for s in self._streams if engine.name in s.path.names]
         context.tallies.count("engines_lost", ended=str(ended).lower())
         context.log.write(
             "backend_server.avoided",
             backend_server=engine.name,
             reason="process ended" if ended else "takes no connection",
             for_ms=for_ms,
-            streams=len(hit),
+            streams=len(affected),
         )
-        for stream in hit:
+        for stream in affected:
             gevent.spawn(stream.on_engine_lost, engine.name, ended)
--- a/caroblug/gateway/_shared_retry_budget.py
+++ b/caroblug/gateway/_shared_retry_budget.py
@@ -1,9 +1,9 @@
-"""Repeats of requests, out of one bound that all gateways share.
+"""Retry budget that all gateways share.
 
-A gateway's own part is small where gateways are many, while the loss of an
-engine falls on few of them: their streams would be cut with nearly the whole
-bound unused. So a gateway whose part is spent borrows from those that told
-last that they have most left.
+Each gateway owns an equal part of the budget. With many gateways that part is
+small, while the loss of an engine affects few of them, whose streams would be
+cut with nearly the whole budget unused. A gateway that has spent its part
+therefore borrows from the gateways that last reported the most retries left.
 """
 
 import gevent
@@ -14,21 +14,22 @@
 
 LEND_PATH = "/lend"
 
-_WANTED = 8
-"""Repeats asked for at a time: the streams of one gateway over one engine."""
+_LOAN_SIZE = 8
+"""Retries requested at a time, about the number of streams that one gateway
+has on one engine."""
 
-_MOST_LENDERS = 3
-"""Gateways asked before a repeat is denied; the caller waits meanwhile."""
+_MAX_LENDERS = 3
+"""Gateways called before a retry is denied; the caller waits meanwhile."""
 
-_ASK_AGAIN_MS = 100
-"""Pause after a round in which nobody lent anything."""
+_BORROW_BACKOFF_MS = 100
+"""Pause after a round in which no gateway lent any retries."""
 
 
 class SharedRetryBudget:
-    """Allows requests to be sent once more.
+    """Retry budget of one gateway, extended by loans from other gateways.
 
     Args:
-        context: What the gateway's parts share.
+        context: State shared by the gateway's components.
         peers: Other gateways.
     """
 
@@ -36,21 +37,34 @@
         self._context = context
         self._peers = peers
         self._loans: dict[str, gevent.Greenlet] = {}
-        self._ask_again_ms: dict[str, int] = {}
+        self._next_borrow_ms: dict[str, int] = {}
 
     def take(self, service: str) -> bool:
-        """Takes one repeat; returns whether it is allowed.
+        """Takes one retry from the budget.
 
-        Waits for other gateways if the own part is spent.
+        Waits for loans from other gateways if the own part is spent.
+
+        Args:
+            service: Name of the service that the request goes to.
+
+        Returns:
+            Whether the retry is allowed.
         """
-        while not self._take(service):
+        while not self._take_own(service):
             if not self._wait_for_loan(service):
                 self._context.tallies.count("repeats_denied", service=service)
                 return False
         return True
 
     def handle_loan_request(self, message: dict) -> dict:
-        """Answers another gateway that asks for repeats."""
+        """Lends retries to another gateway.
+
+        Args:
+            message: The request, with `service` and the number `wanted`.
+
+        Returns:
+            The response, with the number `lent`.
+        """
         context = self._context
         lent = context.repeats.lend(
             str(message["service"]),
@@ -61,17 +75,17 @@
         context.tallies.count("repeats_lent", lent)
         return {"lent": lent}
 
-    def _take(self, service: str) -> bool:
+    def _take_own(self, service: str) -> bool:
         context = self._context
         return context.repeats.take(
             service, context.fleet.loads.gateways, context.clock.now_ms()
         )
 
     def _wait_for_loan(self, service: str) -> bool:
-        """Waits for a loan, one for all streams that wait at this moment.
+        """Waits for a loan that all streams waiting now share.
 
         Returns:
-            Whether something was lent.
+            Whether any retries were lent.
         """
         loan = self._loans.get(service)
         if loan is None or loan.dead:
@@ -80,23 +94,23 @@
         return bool(loan.value)
 
     def _borrow(self, service: str) -> bool:
-        """Asks other gateways; returns whether one of them lent something."""
+        """Calls other gateways for a loan; returns whether one was given."""
         context = self._context
-        asked_ms = context.clock.now_ms()
-        if asked_ms < self._ask_again_ms.get(service, 0):
+        requested_ms = context.clock.now_ms()
+        if requested_ms < self._next_borrow_ms.get(service, 0):
             return False
-        message = {"service": service, "wanted": _WANTED}
-        for name in self._peers.lenders(service)[:_MOST_LENDERS]:
-            asked_ms = context.clock.now_ms()
+        message = {"service": service, "wanted": _LOAN_SIZE}
+        for name in self._peers.lenders(service)[:_MAX_LENDERS]:
+            requested_ms = context.clock.now_ms()
             answer = self._peers.call(name, LEND_PATH, message)
             if isinstance(answer, Unavailable):
                 continue
             lent = int(answer["lent"])
             self._peers.on_lent(name, service, lent)
             if lent > 0:
-                context.repeats.borrow(service, lent, asked_ms)
+                context.repeats.borrow(service, lent, requested_ms)
                 context.tallies.count("repeats_borrowed", lent)
                 return True
         now_ms = context.clock.now_ms()
-        self._ask_again_ms[service] = now_ms + _ASK_AGAIN_MS
+        self._next_borrow_ms[service] = now_ms + _BORROW_BACKOFF_MS
         return False
--- a/caroblug/gateway/tests/test_shared_retry_budget.py
+++ b/caroblug/gateway/tests/test_shared_retry_budget.py
@@ -1,7 +1,7 @@
-"""The loss of several engines at once, under the streams of few gateways.
+"""Tests of loans between gateways when several engines are lost at once.
 
-Every gateway has a small part of the bound on repeats; the streams of such a
-loss need many at the same moment, on the gateways that had them.
+The streams of the lost engines are on few gateways. They need many retries at
+the same moment, while each gateway owns a small part of the retry budget.
 """
 
 from caroblug.core.limits import RepeatWindow
@@ -17,17 +17,17 @@
 
 
 class Site:
-    """Gateways that share a bound on repeats, without sockets."""
+    """Gateways that share a retry budget, without sockets."""
 
     def __init__(self) -> None:
         self.clock = ManualClock(100_000)
-        self.repeats: dict[str, SharedRetryBudget] = {}
+        self.budgets: dict[str, SharedRetryBudget] = {}
         self.windows: dict[str, RepeatWindow] = {}
-        self.cut_off: set[str] = set()
+        self.unreachable: set[str] = set()
         self._peers = {}
         for i in range(GATEWAYS):
             self._add(f"g{i}")
-        self.tell()
+        self.exchange_state()
 
     def _add(self, name: str) -> None:
         context, _, peers, _ = make_placement(name, self.clock)
@@ -35,17 +35,17 @@
         context.fleet.loads.gateways = GATEWAYS
         self._peers[name] = peers
         self.windows[name] = context.repeats
-        self.repeats[name] = SharedRetryBudget(context, peers)
+        self.budgets[name] = SharedRetryBudget(context, peers)
         peers.call = self.call
 
     def call(self, name: str, path: str, message: dict):
-        if name in self.cut_off:
+        if name in self.unreachable:
             return Unavailable("cut off")
         assert path == LEND_PATH
-        return self.repeats[name].handle_loan_request(message)
+        return self.budgets[name].handle_loan_request(message)
 
-    def tell(self) -> None:
-        """Lets every gateway hear of every other one."""
+    def exchange_state(self) -> None:
+        """Sends the state of every gateway to every other one."""
         for name, peers in self._peers.items():
             for other, window in self.windows.items():
                 if other == name:
@@ -60,18 +60,19 @@
                 )
 
     def take(self, name: str, count: int) -> int:
-        return sum(self.repeats[name].take("pool") for _ in range(count))
+        return sum(self.budgets[name].take("pool") for _ in range(count))
 
 
-def test_streams_of_one_gateway_use_repeats_that_others_leave():
-    # Guards against streams that are cut while nearly all repeats are unused.
+def test_gateway_uses_retries_that_others_have_left():
+    # Guards against cutting the streams of one gateway while nearly the whole
+    # shared budget is unused.
     site = Site()
 
     assert site.take("g0", 40) == 40
 
 
-def test_streams_of_all_gateways_stay_within_the_bound():
-    # Guards against lent repeats that are used twice.
+def test_all_gateways_together_stay_within_the_budget():
+    # Guards against retries that both the lender and the borrower use.
     site = Site()
 
     taken = sum(site.take(f"g{i}", 40) for i in range(GATEWAYS))
@@ -79,15 +80,15 @@
     assert EXTRA / 2 < taken <= EXTRA
 
 
-def test_gateway_without_others_keeps_to_its_own_part():
+def test_gateway_without_reachable_lenders_keeps_to_its_own_part():
     site = Site()
-    site.cut_off.update(f"g{i}" for i in range(1, GATEWAYS))
+    site.unreachable.update(f"g{i}" for i in range(1, GATEWAYS))
 
     assert site.take("g0", 40) == site.windows["g0"]._extra * 0.8 // GATEWAYS
 
 
-def test_nobody_is_asked_again_and_again_when_all_is_spent():
-    # Guards against a call to other gateways for each stream that waits.
+def test_gateways_are_not_called_repeatedly_when_the_budget_is_spent():
+    # Guards against a round of calls to other gateways for each waiting stream.
     site = Site()
     for i in range(GATEWAYS):
         site.take(f"g{i}", 60)
