--- a/caroblug/gateway/_stream_path_repair.py
+++ b/caroblug/gateway/_stream_path_repair.py
@@ -1,20 +1,21 @@
-"""Changing the path of a stream that runs."""
+"""Replacement of lost engines on the path of a running stream."""
 
 from caroblug.core.placement import NoPath, Path
 from caroblug.gateway._interfaces import OrderOutcome
 from caroblug.gateway._stream_retry_policy import StreamRetryPolicy
 from caroblug.gateway._stream_state import StreamState
 
-_PATH_TRIES = 2
-"""Other paths that a run is offered; each is a call, and the caller waits."""
+_MAX_REPLACEMENT_PATHS = 2
+"""Maximum number of replacement paths to try; each costs a call while the
+caller waits."""
 
 
 class StreamPathRepair:
-    """Replaces a lost part of the path of a stream that runs.
+    """Replaces lost parts of the path of a running stream.
 
     Args:
-        state: The stream.
-        policy: Chooses its paths.
+        state: State of the stream.
+        policy: Retry policy, which selects paths.
     """
 
     def __init__(self, state: StreamState, policy: StreamRetryPolicy) -> None:
@@ -24,14 +25,17 @@
 
     @property
     def repairing(self) -> bool:
-        """Whether a path is being changed at this moment."""
+        """Whether a path change is in progress."""
         return self._repairing
 
     def replace(self, name: str) -> str:
-        """Changes the path so that it avoids an engine.
+        """Moves the running stream to a path without an engine.
+
+        Args:
+            name: Name of the engine to replace.
 
         Returns:
-            What went wrong; empty if the run goes on.
+            Why the path was not changed; empty if the run continues.
         """
         self._repairing = True
         try:
@@ -43,28 +47,29 @@
         state = self._state
         exchange = state.exchange
         refused: frozenset[str] = frozenset()
-        for _ in range(_PATH_TRIES):
-            path = self._policy.choose_other_parts(refused)
+        for _ in range(_MAX_REPLACEMENT_PATHS):
+            path = self._policy.choose_replacement_path(refused)
             if isinstance(path, NoPath):
                 return "part is lost, no other one"
-            if path.crosses and self._policy.prepare_another_run():
-                # All that was read so far would have to cross, for every
-                # stream at once; a whole path elsewhere reads it again sooner.
+            if path.crosses and self._policy.acquire_rerun():
+                # The data of all tokens processed so far would have to cross
+                # between data centres, for all affected streams at once. A new
+                # run elsewhere that prefills them again is faster.
                 return "part is lost, the next one is far"
-            outcome = self._order_path(name, path)
+            outcome = self._request_path_change(name, path)
             if exchange is not state.exchange:
-                # The run ended meanwhile; its successor has its own path.
+                # The run ended meanwhile, and the next run has its own path.
                 return ""
             if outcome in (OrderOutcome.BEGUN, OrderOutcome.HOLDS):
                 state.change_path(path)
                 return ""
             if outcome is not OrderOutcome.CONFLICT:
                 break
-            # A part that is new on the path is gone or has no room.
+            # An engine that is new on the path is gone or has no capacity.
             refused |= frozenset(path.names) - frozenset(state.path.names)
         return "part is lost, path not changed"
 
-    def _order_path(self, lost: str, path: Path) -> OrderOutcome:
+    def _request_path_change(self, lost: str, path: Path) -> OrderOutcome:
         state = self._state
         context = state.context
         state.times.note("path changed", lost)
--- a/caroblug/gateway/_stream_retry_policy.py
+++ b/caroblug/gateway/_stream_retry_policy.py
@@ -1,4 +1,4 @@
-"""Whether, and over which path, a stream runs once more."""
+"""Retry decisions and path selection for one stream."""
 
 import gevent
 
@@ -9,23 +9,24 @@
 from caroblug.gateway._stream_state import StreamState
 
 MAX_PAUSE_MS = 1400
-"""Pause after which a stream is continued elsewhere though nothing was found:
-callers leave after two seconds."""
+"""Pause after which a stream moves to another path although no fault was found;
+callers give up after two seconds."""
 
-_LOOK_AGAIN_S = 0.1
-"""Pause between two looks for a path for a stream that has begun."""
+_PATH_RETRY_INTERVAL_S = 0.1
+"""Interval between searches for a path for a stream that has begun."""
 
-_ROOM_USE = 0.7
-"""Use of the fullest engine of a path below which it has room for one more."""
+_MAX_RERUN_PATH_USE = 0.7
+"""Use of the fullest engine of a path below which the path can take a stream
+moved from another one."""
 
 
 class StreamRetryPolicy:
-    """Chooses paths for one stream and counts its runs.
+    """Decides whether and over which path one stream runs again.
 
     Args:
-        state: The stream.
-        crashes: Requests that crash backend servers.
-        retry_budget: Allows requests to be sent once more.
+        state: State of the stream.
+        crashes: Suspicions against requests that crash backend servers.
+        retry_budget: Budget that retries are taken from.
     """
 
     def __init__(
@@ -37,94 +38,104 @@
         self._state = state
         self._crashes = crashes
         self._retry_budget = retry_budget
-        self._has_repeat = False
+        self._holds_retry = False
 
     def choose_path(self) -> Path | NoPath:
-        """Returns a path for a new run."""
+        """Returns a path for a new run, or which layer has no engine."""
         state = self._state
         return state.context.fleet.choose_engines(
             state.pending.admitted.service,
             state.now_ms,
-            frozenset(state.avoid),
+            frozenset(state.excluded_engines),
             frozenset(state.began_on),
         )
 
-    def choose_other_parts(self, refused: frozenset[str]) -> Path | NoPath:
-        """Returns another path for the run that goes on.
+    def choose_replacement_path(self, refused: frozenset[str]) -> Path | NoPath:
+        """Returns a path that continues the current run.
+
+        The path keeps the first part of the current one.
 
         Args:
-            refused: Engines that did not take the run as a part of its path.
+            refused: Engines that refused to take over a part of the path.
         """
         state = self._state
         return state.context.fleet.choose_engines(
             state.pending.admitted.service,
             state.now_ms,
-            frozenset(state.avoid) | refused,
+            frozenset(state.excluded_engines) | refused,
             after=state.path.parts[0],
         )
 
-    def may_run_again(self, result: RunResult) -> bool:
-        """Returns whether a run that ended so may be followed by another."""
+    def can_retry(self, result: RunResult) -> bool:
+        """Returns whether another run may follow one with this result."""
         if result.end in (RunEnd.NOT_SENT, RunEnd.REJECTED):
             return True
-        return self._may_begin_anew()
+        return self._can_rerun()
 
-    def wait_to_go_on(self) -> bool:
-        """Waits a moment if a stream that has begun may still go on.
+    def wait_before_retry(self) -> bool:
+        """Waits for a path if the caller already has a part of the response.
 
-        Guards against cutting what the caller has half of because engines have
-        no room, or a layer no holder, at that very moment. A request that has
-        not begun is refused at once and may come back; one that is cut may not
-        be asked again.
+        Without this, a response would be cut because engines have no capacity,
+        or no engine serves a layer, at one moment. A request whose response
+        hasn't begun is refused at once, since its caller may retry; a response
+        that has been cut may not be requested again.
 
         Returns:
-            Whether to look for a path again.
+            Whether to search for a path again.
         """
         state = self._state
-        if not state.pending.reply.begun or not self._may_begin_anew():
+        if not state.pending.reply.begun or not self._can_rerun():
             return False
         if state.now_ms - state.last_event_ms > MAX_PAUSE_MS:
             return False
-        state.avoid.clear()
-        gevent.sleep(_LOOK_AGAIN_S)
+        state.excluded_engines.clear()
+        gevent.sleep(_PATH_RETRY_INTERVAL_S)
         return True
 
-    def take_repeat(self) -> bool:
-        """Takes a repeat unless one is kept; returns whether there is one."""
-        if not self._has_repeat:
+    def acquire_retry(self) -> bool:
+        """Takes a retry from the budget unless one is held already.
+
+        Returns:
+            Whether a retry is held.
+        """
+        if not self._holds_retry:
             service = self._state.pending.admitted.service.name
-            self._has_repeat = self._retry_budget.take(service)
-        return self._has_repeat
+            self._holds_retry = self._retry_budget.take(service)
+        return self._holds_retry
+
+    def on_run_started(self) -> None:
+        """Uses up the retry that is held, because a run begins."""
+        self._holds_retry = False
 
-    def on_run(self) -> None:
-        """Notes that a run begins, which uses up the repeat that was kept."""
-        self._has_repeat = False
+    def acquire_rerun(self) -> bool:
+        """Checks that another run can begin and acquires a retry for it.
 
-    def prepare_another_run(self) -> bool:
-        """Returns whether another run can begin, and keeps a repeat for it.
+        A run must not be aborted before this succeeds. Many streams lose an
+        engine at once and the retries left are fewer, so that the new run might
+        not be allowed and the response would be cut, although the engine of
+        the old run was still working.
 
-        Guards against giving up a run whose engine is at work for one that
-        then may not begin: many streams lose an engine at once, and the
-        repeats that are left are fewer. The caller's answer would be cut.
+        Returns:
+            Whether another run can begin.
         """
-        if not self._may_begin_anew():
+        if not self._can_rerun():
             return False
         if isinstance(self.choose_path(), NoPath):
             return False
-        return self.take_repeat()
+        return self.acquire_retry()
 
-    def is_better_elsewhere(self) -> bool:
-        """Returns whether a run that waits would go on sooner elsewhere.
+    def has_less_loaded_path(self) -> bool:
+        """Returns whether another path has capacity for a run that waits.
 
-        Guards against giving up what waits for memory where all memory is
-        taken: the new run reads the whole prompt again, is the first to be
-        put back, and uses up a repeat that another stream needs.
+        When the memory of all engines is taken, moving a run that waits for
+        memory does harm: the new run prefills the whole prompt again, is the
+        first to be preempted, and uses up a retry that another stream needs.
         """
         path = self.choose_path()
-        return isinstance(path, Path) and path.use < _ROOM_USE
+        return isinstance(path, Path) and path.use < _MAX_RERUN_PATH_USE
 
-    def _may_begin_anew(self) -> bool:
-        """Returns whether one more run is allowed."""
+    def _can_rerun(self) -> bool:
+        """Returns whether one more run is allowed for this request."""
         pending = self._state.pending
         route = pending.admitted.route
         return (
--- a/caroblug/gateway/_stream_runner.py
+++ b/caroblug/gateway/_stream_runner.py
@@ -1,4 +1,7 @@
-"""One run of a stream: sent to the first engine of a path, read to its end."""
+"""Execution of the runs of one stream.
+
+A run sends the request to the first engine of a path and reads the response.
+"""
 
 from caroblug.core.placement import Path
 from caroblug.gateway._connecting import Connecting
@@ -26,24 +29,25 @@
 )
 from caroblug.gateway._stream_state import StreamState
 
-_HEAD_LOOK_S = 0.35
-"""Wait for a first event after which a run is looked into: long beside a sound
-run, and a second one still brings its first event within half a second."""
+_FIRST_EVENT_CHECK_S = 0.35
+"""Wait for the first event after which a run is investigated. A healthy run
+takes much less, and a second run still returns its first event within half a
+second."""
 
-_PAUSE_LOOK_S = 0.3
-"""Pause between events after which a run is looked into; looking costs a
+_PAUSE_CHECK_S = 0.3
+"""Pause between events after which a run is investigated, which costs a
 call."""
 
 
 class StreamRunner:
-    """Runs one stream over one path after the other.
+    """Runs one stream over successive paths.
 
     Args:
-        state: The stream.
-        policy: Chooses its paths.
-        repair: Changes the path of a run.
-        crashes: Requests that crash backend servers.
-        running: Takes the stream while it runs.
+        state: State of the stream.
+        policy: Retry policy, which selects paths.
+        repair: Replaces lost parts of the current path.
+        crashes: Suspicions against requests that crash backend servers.
+        running: Registry of running streams.
     """
 
     def __init__(
@@ -61,16 +65,24 @@
         self._crashes = crashes
         self._running = running
         self._connecting = Connecting()
-        self._given_up = ""
+        self._abort_reason = ""
 
     @property
     def unreachable(self) -> bool:
-        """Whether too many engines in a row took no connection."""
+        """Whether connecting failed for too many engines in a row."""
         return self._connecting.exhausted
 
     def run(self, stream: RunningStream, path: Path) -> RunResult:
-        """Runs the stream over a path; returns how that ended."""
-        self._given_up = ""
+        """Runs the stream over a path until the run ends.
+
+        Args:
+            stream: The stream, to be registered as running.
+            path: Path of the run.
+
+        Returns:
+            How the run ended.
+        """
+        self._abort_reason = ""
         self._state.begin_run(path)
         try:
             return self._send_and_read(stream)
@@ -78,16 +90,20 @@
             self._running.remove(stream)
             self._state.end_run()
 
-    def give_up(self, reason: str) -> None:
-        """Ends the run from beside the greenlet that reads it."""
-        self._given_up = reason
+    def abort(self, reason: str) -> None:
+        """Ends the run from another greenlet than the one that reads it.
+
+        Args:
+            reason: Why the run ends, for its result.
+        """
+        self._abort_reason = reason
         self._state.exchange.close()
 
     def _send_and_read(self, stream: RunningStream) -> RunResult:
         state = self._state
         problem = self._send()
         if problem is not None:
-            return self._on_broken(problem)
+            return self._on_exchange_failure(problem)
         state.events.begin_run()
         state.pace = EventPace()
         state.last_event_ms = state.now_ms
@@ -95,7 +111,7 @@
         head = self._read_head()
         if isinstance(head, RunResult):
             return head
-        return self._read_answer(head)
+        return self._read_response(head)
 
     def _send(self) -> ExchangeFailure | None:
         """Sends the request to the first engine of the path."""
@@ -108,26 +124,29 @@
         if problem is not None:
             return problem
         for name in self._connecting.on_connected():
-            state.avoid_engine(name, FailureKind.CONNECT.value)
+            state.eject_engine(name, FailureKind.CONNECT.value)
         pending.on_send(self._context)
         pending.tried.add(first)
-        # From its first byte on it may run, whatever is heard of it.
+        # Once the first byte is sent, the request may run even if no response
+        # arrives.
         pending.ran += 1
         state.began_on.add(first)
         return state.exchange.send(self._encode(), left_s)
 
     def _read_head(self) -> ResponseHead | RunResult:
         while True:
-            head = self._state.exchange.read_head(self._wait_s(_HEAD_LOOK_S))
+            head = self._state.exchange.read_head(
+                self._read_timeout_s(_FIRST_EVENT_CHECK_S)
+            )
             if isinstance(head, ResponseHead):
                 return head
             if isinstance(head, ExchangeFailure):
-                return self._on_broken(head)
-            result = self._on_quiet(_HEAD_LOOK_S)
+                return self._on_exchange_failure(head)
+            result = self._on_read_timeout(_FIRST_EVENT_CHECK_S)
             if result is not None:
                 return result
 
-    def _read_answer(self, head: ResponseHead) -> RunResult:
+    def _read_response(self, head: ResponseHead) -> RunResult:
         state = self._state
         pending = state.pending
         first = state.path.first.name
@@ -135,20 +154,22 @@
         if facts.run is RunState.NOT_RUN:
             pending.ran -= 1
             state.began_on.discard(first)
-            return self._on_turned_away(head, facts)
+            return self._on_rejected(head, facts)
         if facts.request_id != pending.caller.id or not facts.genuine:
             return RunResult(RunEnd.LOST, f"unproved answer {head.status}")
         self._context.fleet.on_answer(first, None, 0, state.now_ms)
         self._context.fleet.on_room(state.path.names)
         if head.status != 200:
-            return self._read_failure(head, facts)
+            return self._read_error_response(head, facts)
         return self._read_events(head, facts)
 
     def _read_events(self, head: ResponseHead, facts: AnswerFacts) -> RunResult:
         state = self._state
         reply = state.pending.reply
         while True:
-            piece = state.exchange.read_chunk(self._wait_s(_PAUSE_LOOK_S))
+            piece = state.exchange.read_chunk(
+                self._read_timeout_s(_PAUSE_CHECK_S)
+            )
             if isinstance(piece, EndOfBody):
                 if state.events.mid_event:
                     return RunResult(RunEnd.LOST, "ended inside an event")
@@ -156,9 +177,9 @@
                     reply.begin(head.status, list(facts.headers))
                 return RunResult(RunEnd.COMPLETE)
             if isinstance(piece, ExchangeFailure):
-                return self._on_broken(piece)
+                return self._on_exchange_failure(piece)
             if isinstance(piece, ReadTimeout):
-                result = self._on_quiet(_PAUSE_LOOK_S)
+                result = self._on_read_timeout(_PAUSE_CHECK_S)
                 if result is not None:
                     return result
                 continue
@@ -171,9 +192,9 @@
             if events:
                 if not reply.begun:
                     reply.begin(head.status, list(facts.headers))
-                self._pass_on(events)
+                self._forward(events)
 
-    def _pass_on(self, events: list[bytes]) -> None:
+    def _forward(self, events: list[bytes]) -> None:
         state = self._state
         state.end_reading()
         state.pending.reply.send_chunk(b"".join(events))
@@ -182,7 +203,7 @@
         state.pace.add(len(events), now_ms - state.last_event_ms)
         state.last_event_ms = now_ms
 
-    def _read_failure(
+    def _read_error_response(
         self, head: ResponseHead, facts: AnswerFacts
     ) -> RunResult:
         body = self._state.exchange.read_body(self._state.left_ms / 1000)
@@ -192,42 +213,39 @@
             RunEnd.ERROR_RESPONSE, f"answered {head.status}", head, facts, body
         )
 
-    # What went wrong.
-
-    def _on_broken(self, broken: ExchangeFailure) -> RunResult:
+    # Failures.
+    def _on_exchange_failure(self, problem: ExchangeFailure) -> RunResult:
         state = self._state
         first = state.path.first
-        if self._given_up:
-            return RunResult(RunEnd.LOST, self._given_up)
-        if not broken.sent:
-            if broken.failure is FailureKind.CONNECT:
+        if self._abort_reason:
+            return RunResult(RunEnd.LOST, self._abort_reason)
+        if not problem.sent:
+            if problem.failure is FailureKind.CONNECT:
                 self._connecting.on_unreached(first.name)
-                state.avoid.add(first.name)
+                state.excluded_engines.add(first.name)
             else:
-                state.avoid_engine(first.name, broken.failure.value)
-            return RunResult(RunEnd.NOT_SENT, broken.failure.value)
-        if broken.failure is not FailureKind.NOT_HTTP:
-            self._check_first()
-        return RunResult(RunEnd.LOST, broken.failure.value)
+                state.eject_engine(first.name, problem.failure.value)
+            return RunResult(RunEnd.NOT_SENT, problem.failure.value)
+        if problem.failure is not FailureKind.NOT_HTTP:
+            self._probe_first_engine()
+        return RunResult(RunEnd.LOST, problem.failure.value)
 
-    def _check_first(self) -> None:
-        """Avoids the first engine if it doesn't answer any more.
+    def _probe_first_engine(self) -> None:
+        """Ejects the first engine if it no longer responds.
 
-        Guards both ways: an engine that only broke off one answer goes on
-        being used, and one that has crashed costs no second request.
+        An engine that only broke off one response stays in use, and one that
+        has crashed is not sent a second request.
         """
         state = self._state
         first = state.path.first
         report = self._context.dialect.read_report(first.address)
         if isinstance(report, Unavailable):
-            state.avoid_engine(first.name, f"report: {report.message}")
+            state.eject_engine(first.name, f"report: {report.message}")
             self._crashes.on_connection_lost(
                 state.pending, first.name, first.address
             )
 
-    def _on_turned_away(
-        self, head: ResponseHead, facts: AnswerFacts
-    ) -> RunResult:
+    def _on_rejected(self, head: ResponseHead, facts: AnswerFacts) -> RunResult:
         state = self._state
         reason = f"turned away with {head.status}"
         fleet = self._context.fleet
@@ -235,41 +253,53 @@
         name = at_fault.name if at_fault else state.path.first.name
         state.lost = name
         if name in state.path.names:
-            state.avoid.add(name)
+            state.excluded_engines.add(name)
         fleet.on_full(name, state.now_ms)
         if at_fault is not None:
             self._context.ask_about.add(at_fault.name)
         return RunResult(RunEnd.REJECTED, f"{reason} by {name}")
 
-    def _on_quiet(self, look_s: float) -> RunResult | None:
-        """Looks into a run that has paused; returns how it ends, if it does.
+    def _on_read_timeout(self, check_after_s: float) -> RunResult | None:
+        """Decides whether a run that has paused ends.
+
+        If no other run can follow, the current one continues to its deadline,
+        since events may still arrive after a pause.
 
-        A run that can't be followed by another one is waited for to the end
-        of its time: silence doesn't say that no answer will come.
+        Args:
+            check_after_s: Pause after which the run is investigated.
+
+        Returns:
+            How the run ends, or None if it continues.
         """
         state = self._state
         if state.left_ms <= 0:
             return RunResult(RunEnd.OUT_OF_TIME, "no time left")
         paused_ms = state.now_ms - state.last_event_ms
-        if paused_ms < look_s * 1000:
+        if paused_ms < check_after_s * 1000:
             return None
-        result = self._look_into(paused_ms)
-        if result is None or not self._policy.prepare_another_run():
+        result = self._investigate_pause(paused_ms)
+        if result is None or not self._policy.acquire_rerun():
             return None
         return result
 
-    def _look_into(self, paused_ms: int) -> RunResult | None:
-        """Asks the first engine what a run waits for.
+    def _investigate_pause(self, paused_ms: int) -> RunResult | None:
+        """Reads from the first engine's report what a run waits for.
+
+        If no request is queued at that engine, a run without any event has
+        started and its response was lost on the way. Such a run ends sooner
+        than one that paused after events.
 
-        Where nothing waits for a place there, a run without any event has
-        begun and its answer was lost on the way; it isn't waited for as long
-        as one that has paused.
+        Args:
+            paused_ms: Time since the latest event.
+
+        Returns:
+            How the run should end, or None if it should continue.
         """
         state = self._state
         first = state.path.first
         report = self._context.dialect.read_report(first.address)
         if isinstance(report, Unavailable):
-            state.avoid_engine(first.name, f"report: {report.message}")
+            state.eject_engine(first.name, f"report: {report.message}")
             return RunResult(RunEnd.LOST, "first engine does not answer")
         for request_id, address in report.stalled:
             if request_id == state.pending.caller.id:
@@ -277,28 +307,39 @@
         lost = not state.pace.events and not report.waiting
         if paused_ms < MAX_PAUSE_MS and not lost:
             return None
-        if not self._policy.is_better_elsewhere():
+        if not self._policy.has_less_loaded_path():
             return None
         return RunResult(RunEnd.LOST, f"no event for {paused_ms} ms")
 
     def _on_stalled(self, address: tuple[str, int]) -> RunResult | None:
-        """Replaces the part of the path where the run stands still."""
+        """Replaces the part of the path that stalls the run.
+
+        Args:
+            address: Host and port of the engine that the run waits for.
+
+        Returns:
+            How the run should end, or None if it continues.
+        """
         if self._repair.repairing:
             return None
         state = self._state
-        dead = [
+        stalled_engines = [
             p.engine for p in state.path.parts if p.engine.address == address
         ]
-        for engine in dead:
-            # It may be dead or have given up its layers: its report tells.
-            state.avoid.add(engine.name)
+        for engine in stalled_engines:
+            # The engine may have crashed or released its layers. Its next
+            # report shows which.
+            state.excluded_engines.add(engine.name)
             self._context.ask_about.add(engine.name)
             self._crashes.on_connection_lost(
                 state.pending, engine.name, engine.address
             )
-        if not dead or dead[0].name == state.path.first.name:
+        if (
+            not stalled_engines
+            or stalled_engines[0].name == state.path.first.name
+        ):
             return RunResult(RunEnd.LOST, "stalled")
-        problem = self._repair.replace(dead[0].name)
+        problem = self._repair.replace(stalled_engines[0].name)
         return RunResult(RunEnd.LOST, problem) if problem else None
 
     def _encode(self) -> bytes:
@@ -316,5 +357,5 @@
             pending.request, pending.caller, sending
         )
 
-    def _wait_s(self, look_s: float) -> float:
-        return max(0.001, min(look_s, self._state.left_ms / 1000))
+    def _read_timeout_s(self, check_after_s: float) -> float:
+        return max(0.001, min(check_after_s, self._state.left_ms / 1000))
--- a/caroblug/gateway/_stream_state.py
+++ b/caroblug/gateway/_stream_state.py
@@ -1,4 +1,4 @@
-"""What the parts of one stream share."""
+"""State that the components handling one stream share."""
 
 import attrs
 
@@ -12,20 +12,21 @@
 
 @attrs.define
 class StreamState:
-    """One stream, over all its runs.
+    """State of one stream over all its runs.
 
     Attributes:
-        context: What the gateway's parts share.
+        context: State shared by the gateway's components.
         pending: The request.
-        times: When events came.
-        events: Events passed on.
-        path: The path of the newest run; None before the first.
-        exchange: The connection of the newest run; None before the first.
-        avoid: Engines that this stream doesn't use.
-        began_on: Engines on which a run of it has begun.
-        pace: Time between the events of the newest run.
-        last_event_ms: When its newest event came, or the run began.
-        lost: Engine that held up the newest run, for the log.
+        times: Times of the forwarded events.
+        events: Parser and order check of the stream's events.
+        path: Path of the latest run; None before the first run.
+        exchange: HTTP exchange of the latest run; None before the first run.
+        excluded_engines: Engines that this stream must not use.
+        began_on: Engines that were the first of a path on which a run began.
+        pace: Time between the events of the latest run.
+        last_event_ms: Time of the latest event, of the start of the run or of
+            the latest path change, whichever is last.
+        lost: Engine that interrupted the latest run, for the log.
     """
 
     context: Context
@@ -34,7 +35,7 @@
     events: EventSequence
     path: Path | None = None
     exchange: Exchange | None = None
-    avoid: set[str] = attrs.field(factory=set)
+    excluded_engines: set[str] = attrs.field(factory=set)
     began_on: set[str] = attrs.field(factory=set)
     pace: EventPace = attrs.field(factory=EventPace)
     last_event_ms: int = 0
@@ -43,52 +44,57 @@
 
     @property
     def now_ms(self) -> int:
-        """Time now."""
+        """Current time, in ms."""
         return self.context.clock.now_ms()
 
     @property
     def left_ms(self) -> int:
-        """Time left for the request."""
+        """Time until the request's deadline, in ms."""
         return self.pending.left_ms(self.now_ms)
 
     @property
     def resume_after(self) -> str | None:
-        """Id of the event after which a new run is to begin."""
+        """Id of the event after which a new run begins; None for the start."""
         last_id = self.events.last_id
         if last_id is not None:
             return str(last_id)
         return self.pending.caller.resume_after
 
     def begin_run(self, path: Path) -> None:
-        """Starts a run over a path."""
+        """Sets up a run over a path and counts its load."""
         self.lost = ""
-        self._take_path(path)
+        self._enter_path(path)
         self._reading = path.names
         self.context.fleet.loads.begin_reading(self._reading)
         self.exchange = Exchange(path.first.address)
         self.context.fleet.enter(path.first.name)
 
     def end_run(self) -> None:
-        """Ends a run, however it went."""
+        """Closes the run's exchange and releases its load."""
         self.exchange.close()
         self.context.fleet.leave(self.path.first.name)
         self.end_reading()
         self._leave_path()
 
     def change_path(self, path: Path) -> None:
-        """Notes that the run goes on over another path."""
+        """Moves the load of the current run to another path."""
         self._leave_path()
-        self._take_path(path)
+        self._enter_path(path)
         self.last_event_ms = self.now_ms
 
     def end_reading(self) -> None:
-        """Notes that no engine has this run's prompt to read any more."""
+        """Releases the prefill load of the current run."""
         self.context.fleet.loads.end_reading(self._reading)
         self._reading = ()
 
-    def avoid_engine(self, name: str, reason: str) -> None:
-        """Lets this stream, and for a while all others, avoid an engine."""
-        self.avoid.add(name)
+    def eject_engine(self, name: str, reason: str) -> None:
+        """Excludes an engine from this stream and ejects it for all others.
+
+        Args:
+            name: Name of the engine.
+            reason: Why it is ejected, for the log.
+        """
+        self.excluded_engines.add(name)
         for_ms = self.context.fleet.avoid(name, self.now_ms)
         self.context.log.write(
             "backend_server.avoided",
@@ -97,7 +103,7 @@
             for_ms=for_ms,
         )
 
-    def _take_path(self, path: Path) -> None:
+    def _enter_path(self, path: Path) -> None:
         self.path = path
         self.context.fleet.loads.open(path.names, self._mean_tokens())
 
@@ -105,22 +111,22 @@
         self.context.fleet.loads.close(self.path.names, self._mean_tokens())
 
     def _mean_tokens(self) -> int:
-        """Returns the memory that the stream takes on the mean of its time.
+        """Returns the mean number of tokens in memory over the stream's time.
 
-        The answer grows from nothing to its end, which is the most that the
-        caller allows or less.
+        The response grows from nothing to at most the length that the caller
+        allows, so that half of this length is counted.
         """
         caller = self.pending.caller
         return max(1, caller.prompt_tokens + caller.answer_tokens // 2)
 
 
 def make_stream_state(context: Context, pending: PendingRequest) -> StreamState:
-    """Returns the state of a stream that has not run yet."""
+    """Returns the state of a stream that hasn't run yet."""
     times = Timeliness(pending.request.began_ms)
     pending.timeliness = times
-    events = EventSequence(_whole(pending.caller.resume_after))
+    events = EventSequence(_parse_event_id(pending.caller.resume_after))
     return StreamState(context, pending, times, events)
 
 
-def _whole(text: str | None) -> int | None:
+def _parse_event_id(text: str | None) -> int | None:
     return int(text) if text is not None and text.isdigit() else None
--- a/caroblug/gateway/_streams.py
+++ b/caroblug/gateway/_streams.py
@@ -1,10 +1,11 @@
-"""Streams of generations, over engines that pass tokens on themselves.
-
-The gateway chooses the path, sends the request to its first engine and passes
-events on as they come. When the stream pauses it asks where the work stands
-still, and goes on over other engines: by changing the path of the run that
-goes on, where only a later part is lost, else by a new run that begins after
-the last event passed on.
+"""Streaming generations over paths of engines.
+
+The engines of a path pass tokens on to each other directly. The gateway selects
+the path, sends the request to its first engine and forwards events as they
+arrive. When a stream pauses, the gateway finds out which engine holds it up and
+continues over other engines. If only a later part of the path is lost, it
+changes the path of the current run. Otherwise it starts a new run that begins
+after the last forwarded event.
 """
 
 import attrs
@@ -25,21 +26,21 @@
 from caroblug.gateway._stream_runner import StreamRunner
 from caroblug.gateway._stream_state import StreamState, make_stream_state
 
-_FIRST_EVENT_MS = 150
-"""Time in which a sound run brings its first event, prompt and queue
-included."""
+_EXPECTED_FIRST_EVENT_MS = 150
+"""Time in which a run on healthy engines returns its first event, including
+queueing and prefill."""
 
-_MOST_SENDS = 5
+_MAX_SENDS = 5
 
 
 class StreamHandler:
-    """Answers streaming requests.
+    """Handles streaming requests.
 
     Args:
-        context: What the gateway's parts share.
-        crashes: Requests that crash backend servers.
-        running: Takes streams while they run.
-        retry_budget: Allows requests to be sent once more.
+        context: State shared by the gateway's components.
+        crashes: Suspicions against requests that crash backend servers.
+        running: Registry of running streams.
+        retry_budget: Budget that retries are taken from.
     """
 
     def __init__(
@@ -56,7 +57,7 @@
         self._responses = GatewayResponses(context)
 
     def serve(self, pending: PendingRequest) -> None:
-        """Answers one request, at the end of its time at the latest."""
+        """Responds to a request by its deadline at the latest."""
         state = make_stream_state(self._context, pending)
         policy = StreamRetryPolicy(state, self._crashes, self._retry_budget)
         repair = StreamPathRepair(state, policy)
@@ -69,7 +70,7 @@
 
 
 class _Stream(RunningStream):
-    """One stream, over all its runs."""
+    """A stream, over all its runs."""
 
     def __init__(
         self,
@@ -89,26 +90,26 @@
 
     @property
     def path(self) -> Path:
-        """The path that it runs over."""
+        """Path over which the stream runs."""
         return self._state.path
 
     @property
     def event_ms(self) -> int:
-        """When its newest event came, or its first one was due."""
+        """Time of the latest event, or when the first one was due."""
         if self._state.pace.events:
             return self._state.last_event_ms
-        return self._state.last_event_ms + _FIRST_EVENT_MS
+        return self._state.last_event_ms + _EXPECTED_FIRST_EVENT_MS
 
     @property
     def gap_ms(self) -> float:
-        """Mean time between its latest events; 0 before it is known."""
+        """Mean time between recent events; 0 until it is known."""
         return self._state.pace.gap_ms
 
     def serve(self) -> None:
-        """Runs until the answer is whole or can't become so."""
+        """Runs the stream until it is complete or can't be completed."""
         pending = self._state.pending
         result = RunResult(RunEnd.NOT_SENT, "no time left")
-        while pending.sends < _MOST_SENDS and not self._runner.unreachable:
+        while pending.sends < _MAX_SENDS and not self._runner.unreachable:
             if self._state.left_ms <= 0:
                 result = RunResult(RunEnd.OUT_OF_TIME, "no time left")
                 break
@@ -117,35 +118,39 @@
                 result = RunResult(
                     RunEnd.NO_PATH, f"no engine for layer {path.layer}"
                 )
-                if self._policy.wait_to_go_on():
+                if self._policy.wait_before_retry():
                     continue
                 break
-            if pending.sends and not self._policy.take_repeat():
+            if pending.sends and not self._policy.acquire_retry():
                 result = attrs.evolve(result, reason="repeats are spent")
-                if self._policy.wait_to_go_on():
+                if self._policy.wait_before_retry():
                     continue
                 break
-            self._policy.on_run()
+            self._policy.on_run_started()
             result = self._runner.run(self, path)
-            self._note(result)
+            self._log_failed_run(result)
             if result.end in (RunEnd.COMPLETE, RunEnd.OUT_OF_TIME):
                 break
-            if not self._policy.may_run_again(result):
+            if not self._policy.can_retry(result):
                 break
         self._finish(result)
 
     def on_engine_lost(self, name: str, ended: bool) -> None:
-        """Goes on without an engine of its path.
+        """Continues the stream without an engine of its path.
+
+        Called in another greenlet than the one that reads the stream. If the
+        path can't be changed, closing the connection wakes the reader, and a
+        new run begins after the last forwarded event.
 
-        Runs beside the greenlet that reads the stream. Where the path can't
-        be changed, that one is woken by the end of its connection, and a new
-        run begins after the last event passed on.
+        Args:
+            name: Name of the engine.
+            ended: Whether the engine's process is known to have ended.
         """
         state = self._state
         if state.path is None or name not in state.path.names:
             return
         state.lost = name
-        state.avoid.add(name)
+        state.excluded_engines.add(name)
         if ended:
             self._crashes.on_process_ended(state.pending, name)
         problem = ""
@@ -154,11 +159,12 @@
         elif not self._repair.repairing:
             problem = self._repair.replace(name)
         exchange = state.exchange
-        if not problem or not self._policy.prepare_another_run():
+        if not problem or not self._policy.acquire_rerun():
             return
-        # Others may have been asked for a repeat, and the run ended meanwhile.
+        # Acquiring a retry may wait for other gateways, and the run may have
+        # ended meanwhile.
         if exchange is state.exchange:
-            self._runner.give_up(problem)
+            self._runner.abort(problem)
 
     def _finish(self, result: RunResult) -> None:
         pending = self._state.pending
@@ -167,8 +173,8 @@
             self._responses.log(pending, 200)
             reply.finish()
         elif reply.begun:
-            # The connection ends without the mark of a whole answer, so that
-            # the caller can't take what it has for all there is.
+            # The connection closes without the final chunk, so that the caller
+            # can't mistake the partial response for a complete one.
             reply.end_connection()
             self._responses.log(pending, 200, result.reason, cut=True)
         elif result.end is RunEnd.ERROR_RESPONSE:
@@ -185,7 +191,7 @@
         else:
             self._responses.refuse(pending, result.reason)
 
-    def _note(self, result: RunResult) -> None:
+    def _log_failed_run(self, result: RunResult) -> None:
         if result.end is RunEnd.COMPLETE:
             return
         state = self._state
