--- a/caroblug/core/limits/__init__.py
+++ b/caroblug/core/limits/__init__.py
@@ -21,7 +21,7 @@
     "ItemQueue": "_fair_queue",
     "OpenedSince": "_overload",
     "QUEUE_KINDS": "_fair_queue",
-    "RepeatWindow": "_repeat_window",
+    "WindowedRetryBudget": "_windowed_retry_budget",
     "RetryAfter": "_retry_after",
     "RetryBudget": "_retry_budget",
     "RetryRule": "_retry_budget",
--- a/caroblug/core/limits/_repeat_window.py
+++ b/caroblug/core/limits/_windowed_retry_budget.py
@@ -36,7 +36,7 @@
     borrowed: list[int] = attrs.field(factory=list)
 
 
-class RepeatWindow:
+class WindowedRetryBudget:
     """Counts first sends and repeats of each service.
 
     Args:
@@ -57,7 +57,7 @@
         self._extra = extra
         self._window_ms = window_ms
 
-    def on_first(self, service: str, now_ms: int) -> None:
+    def on_first_send(self, service: str, now_ms: int) -> None:
         """Counts a request's first send."""
         self._refresh(service, now_ms).firsts.append(now_ms)
 
@@ -78,7 +78,7 @@
             return True
         return False
 
-    def left(self, service: str, gateways: int, now_ms: int) -> float:
+    def remaining(self, service: str, gateways: int, now_ms: int) -> float:
         """Returns how many repeats of its own part are left."""
         window = self._refresh(service, now_ms)
         return self._allowed(window, gateways) - len(window.repeats)
@@ -94,7 +94,7 @@
             gateways: Gateways that share the bound; 0 if that is unknown.
             now_ms: Time now.
         """
-        left = self.left(service, gateways, now_ms)
+        left = self.remaining(service, gateways, now_ms)
         lent = min(wanted, int(left * _LENT_SHARE))
         if lent <= 0:
             return 0
--- a/caroblug/core/limits/tests/test_repeat_window.py
+++ b/caroblug/core/limits/tests/test_windowed_retry_budget.py
@@ -3,7 +3,7 @@
 import hypothesis
 import hypothesis.strategies as st
 
-from caroblug.core.limits import RepeatWindow
+from caroblug.core.limits import WindowedRetryBudget
 
 RATIO = 0.2
 EXTRA = 50.0
@@ -11,7 +11,7 @@
 
 
 def make_window():
-    return RepeatWindow(RATIO, EXTRA, WINDOW_MS)
+    return WindowedRetryBudget(RATIO, EXTRA, WINDOW_MS)
 
 
 def test_extra_is_divided_among_gateways():
@@ -25,9 +25,9 @@
 def test_requests_earn_repeats():
     window = make_window()
     for _ in range(100):
-        window.on_first("s", 0)
+        window.on_first_send("s", 0)
 
-    assert window.left("s", 1000, 0) > 16
+    assert window.remaining("s", 1000, 0) > 16
 
 
 def test_repeats_come_back_after_the_window():
@@ -68,7 +68,7 @@
         True,
         False,
     ]
-    assert lender.left("s", 10, WINDOW_MS) == 2
+    assert lender.remaining("s", 10, WINDOW_MS) == 2
 
 
 def test_loan_that_was_not_used_in_time_is_over():
@@ -99,7 +99,7 @@
     for gateway, step, pause_ms in steps:
         now_ms += pause_ms
         if step == "first":
-            windows[gateway].on_first("s", now_ms)
+            windows[gateway].on_first_send("s", now_ms)
             firsts.append(now_ms)
         elif step == "borrow":
             lent = windows[gateway - 1].lend("s", 4, 4, now_ms)
--- a/caroblug/gateway/_context.py
+++ b/caroblug/gateway/_context.py
@@ -5,7 +5,7 @@
 import attrs
 
 from caroblug.core.access import Configuration, RequestLimits
-from caroblug.core.limits import RepeatWindow, RetryAfter
+from caroblug.core.limits import RetryAfter, WindowedRetryBudget
 from caroblug.gateway._decision_log import DecisionLog
 from caroblug.gateway._fleet import Fleet
 from caroblug.gateway._interfaces import Dialect
@@ -39,7 +39,7 @@
     rng: random.Random
     dialect: Dialect
     fleet: Fleet
-    repeats: RepeatWindow
+    repeats: WindowedRetryBudget
     retry_after: RetryAfter
     log: DecisionLog
     tallies: Tallies
--- a/caroblug/gateway/_gateway.py
+++ b/caroblug/gateway/_gateway.py
@@ -8,7 +8,7 @@
 from gevent import event
 
 from caroblug.core.access import DenialReason, Denied, RouteKind, admit
-from caroblug.core.limits import RepeatWindow, RetryAfter
+from caroblug.core.limits import RetryAfter, WindowedRetryBudget
 from caroblug.gateway._caller_requests import RawRequest
 from caroblug.gateway._calls import Calls
 from caroblug.gateway._context import Context
@@ -328,7 +328,7 @@
         rng=rng,
         dialect=dialect,
         fleet=Fleet(settings.data_centre, rng),
-        repeats=RepeatWindow(
+        repeats=WindowedRetryBudget(
             settings.retry_ratio,
             settings.retry_extra,
             settings.retry_window_ms,
--- a/caroblug/gateway/_peers.py
+++ b/caroblug/gateway/_peers.py
@@ -292,7 +292,7 @@
         known = context.configuration
         gateways = context.fleet.loads.gateways
         return {
-            name: int(context.repeats.left(name, gateways, now_ms))
+            name: int(context.repeats.remaining(name, gateways, now_ms))
             for name in (known.services if known is not None else ())
         }
 
--- a/caroblug/gateway/_pending.py
+++ b/caroblug/gateway/_pending.py
@@ -62,7 +62,7 @@
     def on_send(self, context: Context) -> None:
         """Counts a send; the first one earns a part of a later repeat."""
         if not self.sends:
-            context.repeats.on_first(
+            context.repeats.on_first_send(
                 self.admitted.service.name, context.clock.now_ms()
             )
         self.sends += 1
--- a/caroblug/gateway/tests/fakes.py
+++ b/caroblug/gateway/tests/fakes.py
@@ -5,7 +5,7 @@
 import attrs
 
 from caroblug.core.access import Configuration, Service
-from caroblug.core.limits import RepeatWindow, RetryAfter
+from caroblug.core.limits import RetryAfter, WindowedRetryBudget
 from caroblug.core.placement import LayerRange
 from caroblug.core.placement.tests.fleets import MODEL
 from caroblug.gateway import (
@@ -119,7 +119,7 @@
         rng=rng,
         dialect=FakeDialect(),
         fleet=Fleet("a", rng),
-        repeats=RepeatWindow(0.2, 50, 10000),
+        repeats=WindowedRetryBudget(0.2, 50, 10000),
         retry_after=RetryAfter(rng),
         log=DecisionLog(name, clock),
         tallies=Tallies(),
--- a/caroblug/gateway/tests/test_repeats.py
+++ b/caroblug/gateway/tests/test_repeats.py
@@ -4,7 +4,7 @@
 loss need many at the same moment, on the gateways that had them.
 """
 
-from caroblug.core.limits import RepeatWindow
+from caroblug.core.limits import WindowedRetryBudget
 from caroblug.gateway._interfaces import Member, Unavailable
 from caroblug.gateway._peers import TenureState
 from caroblug.gateway._repeats import LEND_PATH, Repeats
@@ -22,7 +22,7 @@
     def __init__(self) -> None:
         self.clock = ManualClock(100_000)
         self.repeats: dict[str, Repeats] = {}
-        self.windows: dict[str, RepeatWindow] = {}
+        self.windows: dict[str, WindowedRetryBudget] = {}
         self.cut_off: set[str] = set()
         self._peers = {}
         for i in range(GATEWAYS):
@@ -31,7 +31,7 @@
 
     def _add(self, name: str) -> None:
         context, _, peers, _ = make_placement(name, self.clock)
-        context.repeats = RepeatWindow(0.0, EXTRA, WINDOW_MS)
+        context.repeats = WindowedRetryBudget(0.0, EXTRA, WINDOW_MS)
         context.fleet.loads.gateways = GATEWAYS
         self._peers[name] = peers
         self.windows[name] = context.repeats
@@ -50,7 +50,7 @@
             for other, window in self.windows.items():
                 if other == name:
                     continue
-                left = window.left("pool", GATEWAYS, self.clock.now_ms())
+                left = window.remaining("pool", GATEWAYS, self.clock.now_ms())
                 peers._on_member(Member(other, ("10.0.0.1", 1)))
                 tell(
                     peers,
