--- a/caroblug/core/limits/_solo.py
+++ b/caroblug/core/limits/_isolation_queue.py
@@ -7,15 +7,15 @@
 _T = TypeVar("_T")
 
 
-class Turn(enum.Enum):
+class BatchSource(enum.Enum):
     """Whose turn it is when a batch may be made."""
 
-    NOBODY = "nobody"
+    NONE = "none"
     SUSPECT = "suspect"
     OTHERS = "others"
 
 
-class SoloQueue(Generic[_T]):
+class IsolationQueue(Generic[_T]):
     """Suspects' items, each run alone.
 
     Guards against companions lost with a request that crashes engines: a
@@ -36,7 +36,7 @@
         """Adds a suspect's item."""
         self._items.append(item)
 
-    def turn(self, running: int, waiting: int) -> Turn:
+    def next_source(self, running: int, waiting: int) -> BatchSource:
         """Returns whose turn it is.
 
         Args:
@@ -44,13 +44,13 @@
             waiting: Other items that wait.
         """
         if self._running:
-            return Turn.NOBODY
+            return BatchSource.NONE
         if not self._items:
-            return Turn.OTHERS
+            return BatchSource.OTHERS
         if self._others_next and waiting:
             self._others_next = False
-            return Turn.OTHERS
-        return Turn.NOBODY if running else Turn.SUSPECT
+            return BatchSource.OTHERS
+        return BatchSource.NONE if running else BatchSource.SUSPECT
 
     def get(self) -> _T:
         """Removes and returns the next suspect's item; it now runs."""
--- a/caroblug/side/_pump.py
+++ b/caroblug/side/_pump.py
@@ -10,9 +10,9 @@
 
 from caroblug.core.limits import (
     AccountWeights,
+    BatchSource,
+    IsolationQueue,
     ItemQueue,
-    SoloQueue,
-    Turn,
     make_queue,
 )
 from caroblug.side._in_engine import NORMAL, OVERTAKING, InEngine
@@ -84,7 +84,7 @@
         self._on_results = on_results
         self._on_failed = on_failed
         self._queue: ItemQueue[_Waiting] = make_queue(queue)
-        self._suspects: SoloQueue[_Waiting] = SoloQueue()
+        self._suspects: IsolationQueue[_Waiting] = IsolationQueue()
         self._weights = AccountWeights()
         self._inside = InEngine()
         self._held: dict[str, collections.deque[_Waiting]] = {}
@@ -259,10 +259,12 @@
 
     def _take(self) -> list[EngineItem]:
         """Takes a batch in fair order, or a suspect's item alone."""
-        turn = self._suspects.turn(self._inside.items, len(self._queue))
-        if turn is Turn.NOBODY:
+        source = self._suspects.next_source(
+            self._inside.items, len(self._queue)
+        )
+        if source is BatchSource.NONE:
             return []
-        if turn is Turn.SUSPECT:
+        if source is BatchSource.SUSPECT:
             return self._take_suspect()
         return self._take_batch()
 
