--- a/caroblug/core/limits/__init__.py
+++ b/caroblug/core/limits/__init__.py
@@ -8,7 +8,7 @@
 _MODULES = {
     "AccountRule": "_shares",
     "AccountWeights": "_account_weights",
-    "Admission": "_admission",
+    "ConcurrencyLimiter": "_concurrency_limiter",
     "Demand": "_shares",
     "EngineLoad": "_overload",
     "EntryShares": "_shares",
--- a/caroblug/core/limits/_admission.py
+++ b/caroblug/core/limits/_concurrency_limiter.py
@@ -1,15 +1,15 @@
 """Places for requests that are open at once."""
 
 
-class Admission:
+class ConcurrencyLimiter:
     """Counts open requests, and never admits more than there are places.
 
     Args:
-        places: Requests that may be open at once.
+        limit: Requests that may be open at once.
     """
 
-    def __init__(self, places: int) -> None:
-        self.places = places
+    def __init__(self, limit: int) -> None:
+        self.limit = limit
         self._open = 0
 
     @property
@@ -19,7 +19,7 @@
 
     def take(self) -> bool:
         """Takes a place if there is one."""
-        if self._open >= self.places:
+        if self._open >= self.limit:
             return False
         self._open += 1
         return True
--- a/caroblug/entry/_admission.py
+++ b/caroblug/entry/_admission.py
@@ -4,7 +4,7 @@
 
 from caroblug.core.limits import (
     AccountRule,
-    Admission,
+    ConcurrencyLimiter,
     RetryAfter,
     Ticket,
 )
@@ -78,7 +78,7 @@
 
     def __init__(
         self,
-        places: Admission,
+        places: ConcurrencyLimiter,
         shares: ShareClient,
         suspects: SuspectClient,
         loads: EngineLoads,
--- a/caroblug/entry/_limits.py
+++ b/caroblug/entry/_limits.py
@@ -5,7 +5,12 @@
 
 import gevent
 
-from caroblug.core.limits import AccountRule, Admission, Homes, RetryAfter
+from caroblug.core.limits import (
+    AccountRule,
+    ConcurrencyLimiter,
+    Homes,
+    RetryAfter,
+)
 from caroblug.core.state import Quarantine
 from caroblug.entry._admission import StreamAdmission, rule_of
 from caroblug.entry._loads import EngineLoads
@@ -50,7 +55,7 @@
             network, homes, self._quarantine, clock, metrics
         )
         self.admission = StreamAdmission(
-            Admission(settings.streams),
+            ConcurrencyLimiter(settings.streams),
             self.shares,
             self.suspects,
             self.loads,
--- a/caroblug/entry/_services.py
+++ b/caroblug/entry/_services.py
@@ -2,7 +2,7 @@
 
 import falcon
 
-from caroblug.core.limits import Admission
+from caroblug.core.limits import ConcurrencyLimiter
 from caroblug.core.state import Bundle, ServiceRule
 from caroblug.entry._door import Door
 from caroblug.entry._plain import PlainClient
@@ -24,7 +24,7 @@
         self._client = client
         self._clock = clock
         self._metrics = metrics
-        self._places: dict[tuple[str, str], Admission] = {}
+        self._places: dict[tuple[str, str], ConcurrencyLimiter] = {}
 
     def __call__(
         self, request: falcon.Request, response: falcon.Response, **parts: str
@@ -90,8 +90,8 @@
     ) -> wire.PlainReply | Refused:
         """Makes a call, unless the account has too many open here."""
         key = (call.target, call.client_account)
-        places = self._places.setdefault(key, Admission(rule.calls))
-        places.places = rule.calls
+        places = self._places.setdefault(key, ConcurrencyLimiter(rule.calls))
+        places.limit = rule.calls
         if not places.take():
             return Refused(
                 RefusalType.LIMIT_REACHED,
