--- a/caroblug/core/limits/__init__.py
+++ b/caroblug/core/limits/__init__.py
@@ -19,7 +19,7 @@
     "HomeShares": "_shares",
     "Homes": "_homes",
     "ItemQueue": "_fair_queue",
-    "OpenedSince": "_overload",
+    "UnreportedStreams": "_overload",
     "QUEUE_KINDS": "_fair_queue",
     "WindowedRetryBudget": "_windowed_retry_budget",
     "RetryAfter": "_retry_after",
--- a/caroblug/core/limits/_overload.py
+++ b/caroblug/core/limits/_overload.py
@@ -68,7 +68,7 @@
     return ahead * _MS_PER_S / engine.tokens_per_s
 
 
-class OpenedSince:
+class UnreportedStreams:
     """Streams opened at each engine since its last report.
 
     Guards against a burst between two reports: each of its streams would see
--- a/caroblug/entry/_loads.py
+++ b/caroblug/entry/_loads.py
@@ -2,7 +2,7 @@
 
 import attrs
 
-from caroblug.core.limits import EngineLoad, OpenedSince, estimate_wait_ms
+from caroblug.core.limits import EngineLoad, UnreportedStreams, estimate_wait_ms
 from caroblug.entry._report_age import trusted_until_ms
 from caroblug.gen.wire import ttypes as wire
 from caroblug.utils import Clock
@@ -27,7 +27,7 @@
         self._clock = clock
         self._report_age_ms = report_age_ms
         self._heard: dict[str, _Heard] = {}
-        self._opened = OpenedSince()
+        self._opened = UnreportedStreams()
 
     def on_report(self, report: wire.LoadReport) -> None:
         """Takes a load report."""
