--- a/benchmarks/accounts.py
+++ b/benchmarks/accounts.py
@@ -19,7 +19,7 @@
 from caroblug.core.limits import (
     AccountRule,
     EntryShares,
-    Homes,
+    HomeEntries,
     HomeShares,
 )
 from caroblug.gen.wire import ttypes as wire
@@ -47,7 +47,7 @@
 
     def __init__(self, nodes: int) -> None:
         names = [f"entry-{number}" for number in range(nodes)]
-        self.homes = Homes(names[0], 60_000)
+        self.homes = HomeEntries(names[0], 60_000)
         self.homes.on_listed(names, 0)
         self.held = EntryShares(_TERM_MS)
         self.held.on_listed(nodes)
--- a/caroblug/core/limits/__init__.py
+++ b/caroblug/core/limits/__init__.py
@@ -17,7 +17,7 @@
     "Grant": "_shares",
     "Hedging": "_hedging",
     "HomeShares": "_shares",
-    "Homes": "_homes",
+    "HomeEntries": "_home_entries",
     "ItemQueue": "_fair_queue",
     "UnreportedStreams": "_overload",
     "QUEUE_KINDS": "_fair_queue",
--- a/caroblug/core/limits/_homes.py
+++ b/caroblug/core/limits/_home_entries.py
@@ -16,7 +16,7 @@
     return xxhash.xxh64_intdigest(f"{first}\0{second}".encode())
 
 
-class Homes:
+class HomeEntries:
     """The listed entries, and the accounts' homes among them.
 
     Homes are at most `MAX_HOMES` of the entries, the same ones for all, so
@@ -56,7 +56,7 @@
         """Returns the account's home."""
         return _home(client_account, self._homes)
 
-    def held_ms(self, client_account: str, now_ms: int) -> int:
+    def home_age_ms(self, client_account: str, now_ms: int) -> int:
         """Returns how long this entry has been the account's home.
 
         Guards against a successor that takes an account it has not heard of
--- a/caroblug/core/limits/_shares.py
+++ b/caroblug/core/limits/_shares.py
@@ -99,7 +99,7 @@
         rule: AccountRule,
         now_ms: int,
         *,
-        held_ms: int = _MS_PER_MINUTE,
+        idle_ms: int = _MS_PER_MINUTE,
     ) -> Grant:
         """Takes an entry's report and returns its next grant.
 
@@ -109,11 +109,11 @@
             demand: What the entry reports.
             rule: What the account may use in all.
             now_ms: Time now.
-            held_ms: How long an account not heard of was surely idle.
+            idle_ms: How long an account not heard of was surely idle.
         """
         account = self._accounts.get(client_account)
         if account is None:
-            account = _Account(0.0, now_ms - held_ms)
+            account = _Account(0.0, now_ms - idle_ms)
             self._accounts[client_account] = account
         _refill(account, rule, now_ms)
         account.entries.pop(entry, None)
--- a/caroblug/core/limits/tests/test_shares.py
+++ b/caroblug/core/limits/tests/test_shares.py
@@ -10,7 +10,7 @@
     AccountRule,
     Demand,
     EntryShares,
-    Homes,
+    HomeEntries,
     HomeShares,
 )
 
@@ -208,7 +208,7 @@
     The dead home's count of used tokens is gone; its successor has not heard
     of the account and must not take it for an idle one.
     """
-    homes = Homes("entry-a", settled_ms=60_000)
+    homes = HomeEntries("entry-a", settled_ms=60_000)
     names = [f"entry-{c}" for c in "abcdef"]
     homes.on_listed(names, 0)
     homes.on_listed(names, 70_000)
@@ -217,11 +217,11 @@
         for n in range(1000)
         if homes.home_of(f"school-{n}") == "entry-b"
     )
-    assert homes.held_ms(account, 70_000) == 60_000
+    assert homes.home_age_ms(account, 70_000) == 60_000
     while homes.home_of(account) != "entry-a":
         names.remove(homes.home_of(account))
         homes.on_listed(names, 80_000)
-    assert homes.held_ms(account, 81_000) == 1_000
+    assert homes.home_age_ms(account, 81_000) == 1_000
     fresh = HomeShares(_TERM_MS)
     demand = EntryShares(_TERM_MS)
     demand.touch(account, _RULE, 81_000)
@@ -231,15 +231,15 @@
         demand.report(account, 81_000, wanted=1),
         _RULE,
         81_000,
-        held_ms=homes.held_ms(account, 81_000),
+        idle_ms=homes.home_age_ms(account, 81_000),
     )
     assert 0 < grant.tokens <= _RULE.tokens_per_minute / 60
-    assert homes.held_ms(account, 141_000) == 60_000
+    assert homes.home_age_ms(account, 141_000) == 60_000
 
 
 def test_only_the_accounts_of_a_lost_entry_move():
     names = [f"entry-{n}" for n in range(20)]
-    before, after = Homes("entry-0", 1), Homes("entry-0", 1)
+    before, after = HomeEntries("entry-0", 1), HomeEntries("entry-0", 1)
     before.on_listed(names, 0)
     after.on_listed(names[:-1], 0)
     for number in range(500):
--- a/caroblug/entry/_limits.py
+++ b/caroblug/entry/_limits.py
@@ -8,7 +8,7 @@
 from caroblug.core.limits import (
     AccountRule,
     ConcurrencyLimiter,
-    Homes,
+    HomeEntries,
     RetryAfter,
 )
 from caroblug.core.state import Quarantine
@@ -46,7 +46,7 @@
         metrics: Metrics,
     ) -> None:
         self._bundles = bundles
-        homes = Homes(settings.instance, _SETTLED_MS)
+        homes = HomeEntries(settings.instance, _SETTLED_MS)
         self.loads = EngineLoads(clock, settings.report_age_ms)
         self.shares = ShareClient(
             network, homes, self._account_rule, clock, metrics
--- a/caroblug/entry/_shares.py
+++ b/caroblug/entry/_shares.py
@@ -10,7 +10,7 @@
     Demand,
     EntryShares,
     Grant,
-    Homes,
+    HomeEntries,
     HomeShares,
 )
 from caroblug.gen.wire import ttypes as wire
@@ -39,7 +39,7 @@
     def __init__(
         self,
         network: PeerNetwork,
-        homes: Homes,
+        homes: HomeEntries,
         rule_of: Callable[[str], AccountRule | None],
         clock: Clock,
         metrics: Metrics,
@@ -208,7 +208,7 @@
             demand,
             rule,
             now_ms,
-            held_ms=self._homes.held_ms(client_account, now_ms),
+            idle_ms=self._homes.home_age_ms(client_account, now_ms),
         )
 
     def _take_grant(self, client_account: str, grant: Grant) -> None:
--- a/caroblug/entry/_suspects.py
+++ b/caroblug/entry/_suspects.py
@@ -6,7 +6,7 @@
 from gevent import event
 
 from caroblug.core.limits import (
-    Homes,
+    HomeEntries,
     RunGate,
     Suspicion,
     Suspicions,
@@ -51,7 +51,7 @@
     def __init__(
         self,
         network: PeerNetwork,
-        homes: Homes,
+        homes: HomeEntries,
         rule: Callable[[], Quarantine],
         clock: Clock,
         metrics: Metrics,
--- a/caroblug/entry/tests/test_suspects.py
+++ b/caroblug/entry/tests/test_suspects.py
@@ -1,6 +1,6 @@
 """The line of equal requests, at a home that knows nobody yet."""
 
-from caroblug.core.limits import Homes
+from caroblug.core.limits import HomeEntries
 from caroblug.core.state import Quarantine
 from caroblug.entry._suspects import SuspectClient
 from caroblug.gen.wire import ttypes as wire
@@ -24,7 +24,11 @@
     """
     network, clock = _Network(), ManualClock()
     client = SuspectClient(
-        network, Homes("entry-a", 60_000), Quarantine, clock, make_metrics()
+        network,
+        HomeEntries("entry-a", 60_000),
+        Quarantine,
+        clock,
+        make_metrics(),
     )
     asker = PeerAddress("entry-b", "127.0.0.1", 1)
     client.on_run_request(asker, wire.RunRequest("f", 7, leave=False))
