--- a/benchmarks/accounts.py
+++ b/benchmarks/accounts.py
@@ -81,7 +81,7 @@
         self.held.touch(account, _RULE, now_ms)
         if not self.held.has_grant(account, now_ms):
             self.report(account, now_ms, wanted=1)
-        return self.held.take(account, _RULE, now_ms)
+        return self.held.open_stream(account, _RULE, now_ms)
 
 
 def _run(accounts: int, nodes: int, seed: int, everything: bool) -> _Cost:
@@ -100,9 +100,9 @@
             if entry.request(account, now_ms):
                 ends.append((now_ms + _OPEN_MS, account))
         while ends and ends[0][0] <= now_ms:
-            entry.held.give_back(ends.pop(0)[1])
+            entry.held.close_stream(ends.pop(0)[1])
         if now_ms % 100 == 0:
-            for account in entry.held.due(_REPORT_MS, now_ms):
+            for account in entry.held.due_accounts(_REPORT_MS, now_ms):
                 entry.report(account, now_ms)
             entry.home.forget_idle(now_ms)
         if everything and now_ms % _REPORT_MS == 0:
--- a/caroblug/core/limits/_shares.py
+++ b/caroblug/core/limits/_shares.py
@@ -298,7 +298,9 @@
         held = self._held.get(client_account)
         return max(held.grant.total, held.open) if held else 0
 
-    def take(self, client_account: str, rule: AccountRule, now_ms: int) -> bool:
+    def open_stream(
+        self, client_account: str, rule: AccountRule, now_ms: int
+    ) -> bool:
         """Opens a stream if there is a place; notes a refusal if not."""
         held = self._held[client_account]
         if held.open >= self.allowed_streams(client_account, rule, now_ms):
@@ -307,7 +309,7 @@
         held.open += 1
         return True
 
-    def give_back(self, client_account: str) -> None:
+    def close_stream(self, client_account: str) -> None:
         """Closes a stream."""
         held = self._held[client_account]
         held.open -= 1
@@ -359,7 +361,7 @@
         held.reported_ms = now_ms
         return demand
 
-    def due(self, interval_ms: int, now_ms: int) -> list[str]:
+    def due_accounts(self, interval_ms: int, now_ms: int) -> list[str]:
         """Returns the accounts to report, and forgets idle ones.
 
         An account that has become idle is reported once more, so that its
--- a/caroblug/core/limits/tests/test_shares.py
+++ b/caroblug/core/limits/tests/test_shares.py
@@ -64,14 +64,14 @@
         if not shares.spend(_ACCOUNT, _RULE, tokens, self.now_ms):
             return
         self.spent += tokens
-        if shares.take(_ACCOUNT, _RULE, self.now_ms):
+        if shares.open_stream(_ACCOUNT, _RULE, self.now_ms):
             self.open[entry] += 1
 
     @rule(entry=_entry)
     def finish(self, entry):
         if self.open[entry]:
             self.open[entry] -= 1
-            self.entries[entry].give_back(_ACCOUNT)
+            self.entries[entry].close_stream(_ACCOUNT)
 
     @rule(ms=st.integers(1, 4 * _TERM_MS))
     def wait(self, ms):
@@ -125,7 +125,7 @@
         shares.on_listed(len(streams))
         shares.touch(_ACCOUNT, _RULE, now_ms)
         for _ in range(wanted):
-            shares.take(_ACCOUNT, _RULE, now_ms)
+            shares.open_stream(_ACCOUNT, _RULE, now_ms)
     opened = {
         name: s.report(_ACCOUNT, 0).streams for name, s in entries.items()
     }
@@ -149,7 +149,7 @@
     taken = 0
     for now_ms in range(0, 15_000, 500):
         _report_all(home, {"entry-0": shares}, now_ms)
-        while shares.take(_ACCOUNT, _RULE, now_ms):
+        while shares.open_stream(_ACCOUNT, _RULE, now_ms):
             taken += 1
     assert taken == _RULE.streams
 
@@ -184,7 +184,7 @@
         grant = home.on_demand("entry-0", _ACCOUNT, demand, _RULE, now_ms)
         shares.on_grant(_ACCOUNT, grant, now_ms)
     shares.touch(_ACCOUNT, _RULE, 200)
-    assert shares.take(_ACCOUNT, _RULE, 200)
+    assert shares.open_stream(_ACCOUNT, _RULE, 200)
 
 
 def test_share_decays_without_its_home():
@@ -260,10 +260,10 @@
         home.on_demand("entry-0", account, demand, _RULE, now_ms)
         if source.random() < 0.1:
             home.forget_idle(now_ms)
-            shares.due(1000, now_ms)
+            shares.due_accounts(1000, now_ms)
     home.forget_idle(600_000)
     for now_ms in (600_000, 602_000):
-        for account in shares.due(1000, now_ms):
+        for account in shares.due_accounts(1000, now_ms):
             shares.report(account, now_ms)
     assert len(home) == 0
     assert len(shares) == 0
--- a/caroblug/entry/_shares.py
+++ b/caroblug/entry/_shares.py
@@ -75,11 +75,13 @@
         self._held.touch(client_account, rule, now_ms)
         if not self._held.has_grant(client_account, now_ms):
             self._ask(client_account)
-        if self._held.take(client_account, rule, self._clock.now_ms()):
+        if self._held.open_stream(client_account, rule, self._clock.now_ms()):
             return True
         if not self._ask(client_account):
             return False
-        return self._held.take(client_account, rule, self._clock.now_ms())
+        return self._held.open_stream(
+            client_account, rule, self._clock.now_ms()
+        )
 
     def spend(
         self, client_account: str, rule: AccountRule, tokens: float
@@ -95,7 +97,7 @@
 
     def give_back(self, client_account: str, unused_tokens: float) -> None:
         """Closes a stream and gives back tokens that it did not use."""
-        self._held.give_back(client_account)
+        self._held.close_stream(client_account)
         self._held.refund(client_account, unused_tokens)
 
     def stream_weight(self, client_account: str, weight: float) -> float:
@@ -169,7 +171,7 @@
 
     def _report_due(self) -> None:
         now_ms = self._clock.now_ms()
-        for account in self._held.due(_REPORT_MS, now_ms):
+        for account in self._held.due_accounts(_REPORT_MS, now_ms):
             self._report(account)
         self._home.forget_idle(now_ms)
         for account, asked_ms in list(self._asked_ms.items()):
