--- a/caroblug/core/limits/_fair_queue.py
+++ b/caroblug/core/limits/_fair_queue.py
@@ -45,7 +45,7 @@
         """Removes and returns the next item; the queue must not be empty."""
 
     @abc.abstractmethod
-    def get_within(self, is_full: Callable[[str], bool]) -> _T | None:
+    def get_excluding(self, is_full: Callable[[str], bool]) -> _T | None:
         """Removes and returns the next item of an account that is not full.
 
         Args:
@@ -76,7 +76,7 @@
         """Removes and returns the oldest item."""
         return self._items.popleft()
 
-    def get_within(self, is_full: Callable[[str], bool]) -> _T | None:
+    def get_excluding(self, is_full: Callable[[str], bool]) -> _T | None:
         """Returns None: nobody is preferred."""
         del is_full
         return None
@@ -125,7 +125,7 @@
         self._advance(served)
         return self._serve(account)
 
-    def get_within(self, is_full: Callable[[str], bool]) -> _T | None:
+    def get_excluding(self, is_full: Callable[[str], bool]) -> _T | None:
         """Removes and returns the next item of an account that is not full.
 
         Accounts that are passed over keep their counters and their places.
--- a/caroblug/side/_pump.py
+++ b/caroblug/side/_pump.py
@@ -304,7 +304,7 @@
         items: list[EngineItem] = []
         while len(self._queue) and room > 0:
             if priority == OVERTAKING:
-                waiting = self._queue.get_within(self._inside.has_its_part)
+                waiting = self._queue.get_excluding(self._inside.has_its_part)
             else:
                 waiting = self._queue.get()
             if waiting is None:
