--- a/caroblug/core/limits/_suspicions.py
+++ b/caroblug/core/limits/_suspicions.py
@@ -59,7 +59,7 @@
     crashes: dict[str, _Crash] = attrs.field(factory=dict)
 
     @property
-    def against(self) -> int:
+    def uncleared(self) -> int:
         return sum(not crash.cleared for crash in self.crashes.values())
 
 
@@ -103,16 +103,16 @@
         record = self._live(fingerprint, now_ms)
         if record is None:
             return Verdict.CLEAR
-        if record.against >= self._quarantine_crashes:
+        if record.uncleared >= self._quarantine_crashes:
             return Verdict.QUARANTINED
-        return Verdict.SUSPECT if record.against else Verdict.CLEAR
+        return Verdict.SUSPECT if record.uncleared else Verdict.CLEAR
 
     def remaining_ms(self, fingerprint: str, now_ms: int) -> int:
         """Returns when a request is forgotten; 0 if nothing is known."""
         record = self._live(fingerprint, now_ms)
         return record.end_ms - now_ms if record else 0
 
-    def alone_until(self, fingerprint: str, now_ms: int) -> int:
+    def isolate_until(self, fingerprint: str, now_ms: int) -> int:
         """Returns the position up to which a request is to run alone."""
         record = self._live(fingerprint, now_ms)
         if record is None:
@@ -144,10 +144,10 @@
             if not crash.cleared and length > crash.position:
                 crash.cleared = True
                 cleared.append(name)
-        known = self.known(fingerprint, now_ms)
+        known = self.for_request(fingerprint, now_ms)
         return [s for s in known if s.crash in cleared]
 
-    def known(self, fingerprint: str, now_ms: int) -> list[Suspicion]:
+    def for_request(self, fingerprint: str, now_ms: int) -> list[Suspicion]:
         """Returns everything known of one request."""
         record = self._live(fingerprint, now_ms)
         if record is None:
@@ -170,15 +170,15 @@
             suspicion
             for fingerprint in list(self._records)
             if self.verdict(fingerprint, now_ms) is Verdict.QUARANTINED
-            for suspicion in self.known(fingerprint, now_ms)
+            for suspicion in self.for_request(fingerprint, now_ms)
         ]
 
-    def suspected(self, now_ms: int) -> list[Suspicion]:
+    def all_live(self, now_ms: int) -> list[Suspicion]:
         """Returns everything known against any request."""
         return [
             suspicion
             for fingerprint in list(self._records)
-            for suspicion in self.known(fingerprint, now_ms)
+            for suspicion in self.for_request(fingerprint, now_ms)
         ]
 
     def count_quarantined(self, now_ms: int) -> int:
--- a/caroblug/core/limits/tests/test_suspicions.py
+++ b/caroblug/core/limits/tests/test_suspicions.py
@@ -44,7 +44,9 @@
         if ticket is None:
             return
         self.waiting = [w for w in self.waiting if w != ticket]
-        for suspicion in self.known["home"].known(fingerprint, self.now_ms):
+        for suspicion in self.known["home"].for_request(
+            fingerprint, self.now_ms
+        ):
             self._hear(ticket.entry, suspicion)
         verdict = self.known[ticket.entry].verdict(fingerprint, self.now_ms)
         if verdict is Verdict.QUARANTINED:
@@ -140,7 +142,7 @@
     """An innocent companion is refused because old news comes round again."""
     known = Suspicions()
     known.on_suspicion(_suspicion("one"), 0)
-    assert known.alone_until("f", 0) == 5
+    assert known.isolate_until("f", 0) == 5
     assert known.clear("f", 5, 0) == []
     told = known.clear("f", 6, 0)
     assert [s.cleared for s in told] == [True]
--- a/caroblug/entry/_suspects.py
+++ b/caroblug/entry/_suspects.py
@@ -84,7 +84,7 @@
 
     def alone_until(self, fingerprint: str) -> int:
         """Returns the position up to which a request is to run alone."""
-        return self._known.alone_until(fingerprint, self._clock.now_ms())
+        return self._known.isolate_until(fingerprint, self._clock.now_ms())
 
     def refusal(self, fingerprint: str, ran: Ran) -> Refused | None:
         """Returns the refusal of a quarantined request, else None."""
@@ -289,7 +289,7 @@
         entry = self._askers.get(ticket.entry)
         if entry is None:
             return
-        known = self._known.known(fingerprint, self._clock.now_ms())
+        known = self._known.for_request(fingerprint, self._clock.now_ms())
         self._network.send(
             entry,
             wire.RunAdmitted(
@@ -308,7 +308,7 @@
             )
 
     def _tell_sides(self, fingerprint: str) -> None:
-        known = self._known.known(fingerprint, self._clock.now_ms())
+        known = self._known.for_request(fingerprint, self._clock.now_ms())
         self._network.broadcast(
             _SIDE_ROLE, *(suspicion_to_wire(s) for s in known)
         )
--- a/caroblug/gateway/_crashes.py
+++ b/caroblug/gateway/_crashes.py
@@ -95,7 +95,7 @@
 
     def tell(self) -> list[list]:
         """Returns what other gateways should know."""
-        known = self._suspicions.suspected(self._clock.now_ms())
+        known = self._suspicions.all_live(self._clock.now_ms())
         return [
             [s.fingerprint, s.client_account, s.crash, s.remaining_ms]
             for s in known[-_MOST_TOLD:]
--- a/caroblug/side/_crashes.py
+++ b/caroblug/side/_crashes.py
@@ -87,7 +87,7 @@
     def tell(self, entry: PeerAddress, fingerprint: str) -> None:
         """Tells an entry what is known of a request."""
         now_ms = self._clock.now_ms()
-        for suspicion in self._known.known(fingerprint, now_ms):
+        for suspicion in self._known.for_request(fingerprint, now_ms):
             self._network.send(entry, suspicion_to_wire(suspicion))
 
     def is_quarantined(self, fingerprint: str) -> bool:
