--- a/caroblug/core/limits/_run_gate.py
+++ b/caroblug/core/limits/_run_gate.py
@@ -72,7 +72,7 @@
         """Tells whether an equal request has lately run its whole prompt."""
         return now_ms < self._proved.get(fingerprint, now_ms)
 
-    def prove(self, fingerprint: str, now_ms: int) -> list[Ticket]:
+    def mark_proved(self, fingerprint: str, now_ms: int) -> list[Ticket]:
         """Takes it that a request ran its prompt; returns who may run."""
         self._proved.pop(fingerprint, None)
         self._proved[fingerprint] = now_ms + self.term_ms
@@ -81,7 +81,7 @@
         line = self._lines.pop(fingerprint, None)
         return list(line.waiting) if line else []
 
-    def doubt(self, fingerprint: str) -> None:
+    def revoke_proved(self, fingerprint: str) -> None:
         """Takes back a proof, after a crash with the request in flight."""
         self._proved.pop(fingerprint, None)
 
--- a/caroblug/core/limits/tests/test_suspicions.py
+++ b/caroblug/core/limits/tests/test_suspicions.py
@@ -185,8 +185,8 @@
     tickets = [Ticket("entry-a", number) for number in range(4)]
     entered = [gate.enter("f", ticket, 0) for ticket in tickets]
     assert entered == [True, False, False, False]
-    assert gate.prove("f", 10) == tickets[1:]
+    assert gate.mark_proved("f", 10) == tickets[1:]
     assert gate.enter("f", Ticket("entry-b", 1), 20)
-    gate.doubt("f")
+    gate.revoke_proved("f")
     assert gate.enter("f", Ticket("entry-b", 2), 30)
     assert not gate.enter("f", Ticket("entry-b", 3), 30)
--- a/caroblug/entry/_suspects.py
+++ b/caroblug/entry/_suspects.py
@@ -181,7 +181,7 @@
         if not self._known.on_suspicion(suspicion, now_ms):
             return
         self._metrics.count("suspicions")
-        self._gate.doubt(suspicion.fingerprint)
+        self._gate.revoke_proved(suspicion.fingerprint)
         self._pass_on(suspicion)
         after = self._known.verdict(suspicion.fingerprint, now_ms)
         if after is Verdict.QUARANTINED and before is not after:
@@ -273,7 +273,7 @@
     ) -> None:
         now_ms = self._clock.now_ms()
         if proved:
-            for waiting in self._gate.prove(fingerprint, now_ms):
+            for waiting in self._gate.mark_proved(fingerprint, now_ms):
                 self._admit(fingerprint, waiting)
             return
         following = self._gate.leave(fingerprint, ticket, now_ms)
