--- a/caroblug/core/recovery/_delivery.py
+++ b/caroblug/core/recovery/_delivery.py
@@ -65,7 +65,7 @@
             or len(self._early) > MAX_EARLY_FRAMES
         )
 
-    def keep(self, payload: bytes, now_ms: int) -> None:
+    def retain(self, payload: bytes, now_ms: int) -> None:
         """Keeps the frame with the next number until it is acknowledged."""
         self._sent.append(_Sent(self._next, payload, now_ms))
         self._sent_bytes += len(payload)
--- a/caroblug/core/recovery/tests/test_delivery.py
+++ b/caroblug/core/recovery/tests/test_delivery.py
@@ -21,7 +21,7 @@
         action = data.draw(st.sampled_from(["send", "arrive", "break", "ack"]))
         if action == "send":
             flying.append(sender.next_number)
-            sender.keep(str(sent).encode(), 0)
+            sender.retain(str(sent).encode(), 0)
             sent += 1
         elif action == "arrive" and flying:
             number = flying.pop(0)
@@ -39,8 +39,8 @@
 
 def test_wait_counts_from_the_last_progress():
     delivery: Delivery[int] = Delivery()
-    delivery.keep(b"a", 100)
-    delivery.keep(b"b", 110)
+    delivery.retain(b"a", 100)
+    delivery.retain(b"b", 110)
     assert delivery.waited_ms(400) == 300
     delivery.on_acknowledged(1, 390)
     assert delivery.waited_ms(400) == 10
@@ -50,7 +50,7 @@
 
 def test_what_is_kept_is_bounded():
     delivery: Delivery[int] = Delivery(unacknowledged_bytes=10)
-    delivery.keep(bytes(10), 0)
+    delivery.retain(bytes(10), 0)
     assert not delivery.over_limit
-    delivery.keep(b"x", 0)
+    delivery.retain(b"x", 0)
     assert delivery.over_limit
--- a/caroblug/transport/_sessions.py
+++ b/caroblug/transport/_sessions.py
@@ -158,7 +158,7 @@
             else:
                 waiting.append(message)
         payload = framing.encode(frame)
-        self.delivery.keep(payload, now_ms)
+        self.delivery.retain(payload, now_ms)
         return payload
 
     def on_frame(self, frame: wire.Frame, now_ms: int) -> list[wire.Frame]:
