--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -16,7 +16,7 @@
     MIDDLE,
     MODEL,
     SMALL,
-    carry_out,
+    apply_moves,
     make_engine,
 )
 
@@ -46,7 +46,7 @@
     figures = {}
     for count, data_centres in SIZES:
         empty = _make_engines(count, data_centres)
-        placed = carry_out(empty, plan_moves(empty, MODEL))
+        placed = apply_moves(empty, plan_moves(empty, MODEL))
         lost = placed[1:]
         loads = EngineLoads()
         rng = random.Random(1)
--- a/caroblug/core/access/_configuration.py
+++ b/caroblug/core/access/_configuration.py
@@ -34,7 +34,8 @@
         kind: What may be repeated.
         shares: Services that requests are spread over.
         timeout_ms: Longest time that a request may take.
-        goal_ms: Time in which an answer, or a stream's first event, is due.
+        latency_target_ms: Time in which an answer, or a stream's first event,
+            is due.
         priority: 0 is the most urgent.
         max_attempts: Engines that one request may run on.
         public: Whether no key is needed.
@@ -48,7 +49,7 @@
     kind: RouteKind
     shares: tuple[Share, ...]
     timeout_ms: int
-    goal_ms: int = 500
+    latency_target_ms: int = 500
     priority: int = 5
     max_attempts: int = 1
     public: bool = False
@@ -56,7 +57,7 @@
     pause_ms: int = 0
 
     @property
-    def repeatable(self) -> bool:
+    def retryable(self) -> bool:
         """Whether a request may run more than once."""
         if self.kind is RouteKind.STREAMING:
             return self.resumable
--- a/caroblug/core/access/tests/test_decisions.py
+++ b/caroblug/core/access/tests/test_decisions.py
@@ -114,9 +114,9 @@
 def test_streams_may_be_repeated_only_where_they_can_be_resumed():
     stream = RouteKind.STREAMING
 
-    assert not make_route("r", "/a/", kind=stream).repeatable
-    assert make_route("r", "/a/", kind=stream, resumable=True).repeatable
-    assert not make_route("r", "/a/", kind=RouteKind.UNSAFE).repeatable
+    assert not make_route("r", "/a/", kind=stream).retryable
+    assert make_route("r", "/a/", kind=stream, resumable=True).retryable
+    assert not make_route("r", "/a/", kind=RouteKind.UNSAFE).retryable
     assert isinstance(
         decide(make_configuration(make_route("r", "/a/"))), Admitted
     )
--- a/caroblug/core/placement/__init__.py
+++ b/caroblug/core/placement/__init__.py
@@ -1,11 +1,11 @@
 """Which engine holds which layers, and the path of a request over them."""
 
-from caroblug.core.placement._load import EngineLoads
+from caroblug.core.placement._engine_loads import EngineLoads
 from caroblug.core.placement._paths import NoPath, Path, PathPart, choose_path
 from caroblug.core.placement._planner import (
     Move,
-    chain_room,
-    covers,
+    compute_requests_per_chain,
+    covers_model,
     plan_moves,
 )
 from caroblug.core.placement._types import (
@@ -25,8 +25,8 @@
     "NoPath",
     "Path",
     "PathPart",
-    "chain_room",
+    "compute_requests_per_chain",
     "choose_path",
-    "covers",
+    "covers_model",
     "plan_moves",
 ]
--- a/caroblug/core/placement/_load.py
+++ b/caroblug/core/placement/_engine_loads.py
@@ -15,7 +15,8 @@
     several times over.
 
     Attributes:
-        neighbours: Gateways known in the own data centre, this one included.
+        local_gateways: Gateways known in the own data centre, this one
+            included.
     """
 
     def __init__(self) -> None:
@@ -26,7 +27,7 @@
         self._near_sums: dict[str, float] = {}
         self._far_sums: dict[str, float] = {}
         self._gateways = 0
-        self.neighbours = 1
+        self.local_gateways = 1
 
     @property
     def gateways(self) -> int:
@@ -39,59 +40,59 @@
     def gateways(self, gateways: int) -> None:
         self._gateways = gateways
 
-    def open(self, names: tuple[str, ...], tokens: int) -> None:
+    def add_request(self, names: tuple[str, ...], tokens: int) -> None:
         """Counts a request of `tokens` tokens on the engines named."""
         for name in names:
             self._own[name] += tokens
 
-    def close(self, names: tuple[str, ...], tokens: int) -> None:
+    def remove_request(self, names: tuple[str, ...], tokens: int) -> None:
         """Takes a request off the engines named."""
         for name in names:
             self._own[name] -= tokens
             if self._own[name] <= 0:
                 del self._own[name]
 
-    def begin_reading(self, names: tuple[str, ...]) -> None:
+    def begin_prefill(self, names: tuple[str, ...]) -> None:
         """Counts a prompt that the engines named have yet to read."""
         self._unread.update(names)
 
-    def end_reading(self, names: tuple[str, ...]) -> None:
+    def end_prefill(self, names: tuple[str, ...]) -> None:
         """Takes off a prompt that has been read, or never will be."""
         for name in names:
             self._unread[name] -= 1
             if self._unread[name] <= 0:
                 del self._unread[name]
 
-    def unread(self, name: str) -> int:
+    def pending_prefills(self, name: str) -> int:
         """Returns how many prompts an engine has yet to read.
 
         What others have sent in the last some hundred ms can't have been told
         yet; the neighbours are taken to do as this gateway does.
         """
-        return self._unread[name] * self.neighbours
+        return self._unread[name] * self.local_gateways
 
-    def own(self) -> dict[str, int]:
+    def own_tokens(self) -> dict[str, int]:
         """Returns this gateway's tokens by engine."""
         return dict(self._own)
 
-    def hear(
-        self, gateway: str, tokens: dict[str, float], near: bool = True
+    def update_peer(
+        self, gateway: str, tokens: dict[str, float], local: bool = True
     ) -> None:
         """Takes what another gateway has on engines.
 
         Args:
             gateway: Its name.
             tokens: Its tokens by engine.
-            near: Whether it is in the own data centre.
+            local: Whether it is in the own data centre.
         """
         self._heard[gateway] = tokens
-        if near:
+        if local:
             self._near.add(gateway)
         else:
             self._near.discard(gateway)
         self._add_up()
 
-    def forget(self, gateway: str) -> None:
+    def remove_peer(self, gateway: str) -> None:
         """Drops a gateway that is not heard any more."""
         if self._heard.pop(gateway, None) is not None:
             self._near.discard(gateway)
@@ -102,7 +103,7 @@
         near = self._own.get(name, 0) + self._near_sums.get(name, 0.0)
         far = self._far_sums.get(name, 0.0)
         heard_near = len(self._near) + 1
-        neighbours = max(self.neighbours, heard_near)
+        neighbours = max(self.local_gateways, heard_near)
         heard_far = len(self._heard) - len(self._near)
         strangers = max(self.gateways - neighbours, heard_far)
         if heard_far == 0:
@@ -110,9 +111,9 @@
             return near * (neighbours + strangers) / heard_near
         return near * neighbours / heard_near + far * strangers / heard_far
 
-    def use(self, engine: Engine, model: ModelShape) -> float:
+    def memory_use(self, engine: Engine, model: ModelShape) -> float:
         """Returns the share of an engine's room that is taken."""
-        room = model.token_room(engine.kind, len(engine.holds))
+        room = model.token_capacity(engine.kind, len(engine.holds))
         return self.tokens(engine.name) / room if room > 0 else 1.0
 
     def _add_up(self) -> None:
--- a/caroblug/core/placement/_paths.py
+++ b/caroblug/core/placement/_paths.py
@@ -5,7 +5,7 @@
 
 import attrs
 
-from caroblug.core.placement._load import EngineLoads
+from caroblug.core.placement._engine_loads import EngineLoads
 from caroblug.core.placement._planner import HOP_MS
 from caroblug.core.placement._types import Engine, LayerRange, ModelShape
 
@@ -80,7 +80,7 @@
         return tuple(part.engine.name for part in self.parts)
 
     @property
-    def crosses(self) -> bool:
+    def crosses_data_centres(self) -> bool:
         """Whether it runs over engines of more than one data centre."""
         return len({part.engine.data_centre for part in self.parts}) > 1
 
@@ -102,7 +102,7 @@
     loads: EngineLoads,
     data_centre: str,
     rng: random.Random,
-    first_not: frozenset[str] = frozenset(),
+    excluded_first: frozenset[str] = frozenset(),
     after: PathPart | None = None,
 ) -> Path | NoPath:
     """Returns the cheapest path, by time of a token step and crowding.
@@ -113,23 +113,23 @@
         loads: Tokens on each engine.
         data_centre: Where the entry runs.
         rng: Breaks ties, so that entries don't all choose alike.
-        first_not: Engines that the path must not begin with.
+        excluded_first: Engines that the path must not begin with.
         after: First part that is kept, for a path that is changed while its
             request runs.
     """
     ready = [e for e in engines if len(e.holds) and not e.loading]
     if after is not None:
         ready = [e for e in ready if e.name != after.engine.name]
-    use = {e.name: loads.use(e, model) for e in ready}
+    use = {e.name: loads.memory_use(e, model) for e in ready}
     weight = {
         e.name: _weight_ms(use[e.name], rng)
-        + loads.unread(e.name)
-        * model.reading_ms(e.kind, len(e.holds))
+        + loads.pending_prefills(e.name)
+        * model.prefill_time_ms(e.kind, len(e.holds))
         * _READ_COST
         for e in ready
     }
     layer_ms = model.step_ms / model.layers
-    crossing_ms = model.crossing_ms * _CROSSING_QUEUE
+    transfer_ms = model.transfer_ms * _CROSSING_QUEUE
     start = after.layers.end if after else 0
     origin = after.engine.data_centre if after else data_centre
     queue: list[tuple[float, int, int, Engine | None]] = [
@@ -150,13 +150,13 @@
         for engine in ready:
             if layer not in engine.holds:
                 continue
-            if last is None and engine.name in first_not:
+            if last is None and engine.name in excluded_first:
                 continue
             end = engine.holds.end
-            step = (end - layer) * layer_ms * engine.kind.step_pace
+            step = (end - layer) * layer_ms * engine.kind.step_time_factor
             step += HOP_MS + weight[engine.name]
             if engine.data_centre != place:
-                step += crossing_ms if last else _AWAY_MS
+                step += transfer_ms if last else _AWAY_MS
             key = (end, engine.data_centre)
             if cost + step < best.get(key, float("inf")):
                 best[key] = cost + step
--- a/caroblug/core/placement/_planner.py
+++ b/caroblug/core/placement/_planner.py
@@ -12,7 +12,7 @@
 
 import attrs
 
-from caroblug.core.placement._keepers import Keepers
+from caroblug.core.placement._serving_engines import ServingEngines
 from caroblug.core.placement._types import Engine, LayerRange, ModelShape
 
 STREAMS_PER_CHAIN = 40
@@ -52,13 +52,14 @@
             holds, so that all requests there go elsewhere. Work that passes
             through layers which are given up is then not waited for: that
             takes seconds, in which other data centres run out of memory.
-        keepers: Engines that go on serving the layers that are given up.
+        remaining_holders: Engines that go on serving the layers that are given
+            up.
     """
 
     engine: Engine
     target: LayerRange
     urgent: bool = False
-    keepers: tuple[Engine, ...] = ()
+    remaining_holders: tuple[Engine, ...] = ()
 
 
 @attrs.define
@@ -83,10 +84,10 @@
 
     def most(self, model: ModelShape, streams: int) -> int:
         """Returns how many layers fit beside `streams` requests."""
-        return model.most_layers(self.engine.kind, streams)
+        return model.max_layers(self.engine.kind, streams)
 
 
-def chain_room(gateways: int, data_centres: int) -> int:
+def compute_requests_per_chain(gateways: int, data_centres: int) -> int:
     """Returns the requests of usual size that a chain keeps room for.
 
     Args:
@@ -101,7 +102,7 @@
 def plan_moves(
     engines: list[Engine],
     model: ModelShape,
-    room: int = STREAMS_PER_CHAIN,
+    requests_per_chain: int = STREAMS_PER_CHAIN,
 ) -> list[Move]:
     """Returns the moves that are missing.
 
@@ -109,7 +110,7 @@
         engines: Engines that live and stay; one that leaves is left out, so
             that its layers are placed again while it still serves.
         model: The model.
-        room: Requests of usual size that a chain keeps room for.
+        requests_per_chain: Requests of usual size that a chain keeps room for.
     """
     engines = sorted(engines, key=lambda e: _by_speed(e, model))
     seats = [_Seat(e, e.holds) for e in engines]
@@ -118,7 +119,9 @@
     for data_centre in sorted({e.data_centre for e in engines}):
         local = [s for s in seats if s.engine.data_centre == data_centre]
         missing[data_centre] = _missing_layers(engines, data_centre, model)
-        keepers[data_centre] = _plan_data_centre(local, model, room)
+        keepers[data_centre] = _plan_data_centre(
+            local, model, requests_per_chain
+        )
     return [
         _make_move(
             seat,
@@ -130,13 +133,13 @@
     ]
 
 
-def _make_move(seat: _Seat, missing: set[int], keepers: Keepers) -> Move:
+def _make_move(seat: _Seat, missing: set[int], keepers: ServingEngines) -> Move:
     urgent = any(layer in seat.target for layer in missing)
-    replacing = keepers.replacing(seat.engine, seat.target)
-    return Move(seat.engine, seat.target, urgent, replacing)
+    holders = keepers.remaining_holders(seat.engine, seat.target)
+    return Move(seat.engine, seat.target, urgent, holders)
 
 
-def covers(engines: list[Engine], model: ModelShape) -> bool:
+def covers_model(engines: list[Engine], model: ModelShape) -> bool:
     """Returns whether engines hold every layer of a model between them."""
     return all(
         any(layer in e.holds for e in engines) for layer in range(model.layers)
@@ -157,21 +160,21 @@
 
 def _by_speed(engine: Engine, model: ModelShape) -> tuple[float, str]:
     """Orders engines by the time that a layer costs there, hop included."""
-    most = model.most_layers(engine.kind, STREAMS_PER_CHAIN)
-    layer_ms = model.step_ms / model.layers * engine.kind.step_pace
+    most = model.max_layers(engine.kind, STREAMS_PER_CHAIN)
+    layer_ms = model.step_ms / model.layers * engine.kind.step_time_factor
     return (layer_ms + HOP_MS / max(1, most), engine.name)
 
 
 def _plan_data_centre(
-    seats: list[_Seat], model: ModelShape, room: int
-) -> Keepers:
+    seats: list[_Seat], model: ModelShape, requests_per_chain: int
+) -> ServingEngines:
     """Gives the engines of a data centre their targets.
 
     Returns:
         The engines that stay as they are.
     """
-    keepers = Keepers([seat.engine for seat in seats])
-    chains, streams = _size_chains(seats, model, room)
+    keepers = ServingEngines([seat.engine for seat in seats])
+    chains, streams = _size_chains(seats, model, requests_per_chain)
     grown = min(streams, _GROWN_STREAMS)
     holes = _sweep(seats, model.layers)
     holes = _fill(_empty(seats), holes, model, streams, keepers)
@@ -187,16 +190,16 @@
 
 
 def _size_chains(
-    seats: list[_Seat], model: ModelShape, room: int
+    seats: list[_Seat], model: ModelShape, requests_per_chain: int
 ) -> tuple[int, int]:
     """Returns how many whole chains fit, and the room each one has.
 
     Returns:
         Number of chains, one at least, and requests of usual size.
     """
-    held = _layers_held(seats, model, room)
+    held = _layers_held(seats, model, requests_per_chain)
     chains = max(1, held // model.layers)
-    low, high = _TIGHT_STREAMS, room
+    low, high = _TIGHT_STREAMS, requests_per_chain
     while low < high:
         middle = (low + high + 1) // 2
         if _layers_held(seats, model, middle) >= chains * model.layers:
@@ -241,7 +244,7 @@
     holes: list[LayerRange],
     model: ModelShape,
     streams: int,
-    keepers: Keepers,
+    keepers: ServingEngines,
 ) -> list[LayerRange]:
     """Gives holes to free engines whose layers others keep, empty ones first.
 
@@ -288,7 +291,7 @@
     holes: list[LayerRange],
     model: ModelShape,
     streams: int,
-    keepers: Keepers,
+    keepers: ServingEngines,
 ) -> list[LayerRange]:
     """Lets engines beside holes grow into them.
 
@@ -326,7 +329,10 @@
 
 
 def _choose_neighbour(
-    beside: list[_Seat], model: ModelShape, streams: int, keepers: Keepers
+    beside: list[_Seat],
+    model: ModelShape,
+    streams: int,
+    keepers: ServingEngines,
 ) -> _Seat | None:
     """Chooses the engine beside a hole that can grow most, if any can.
 
@@ -395,6 +401,6 @@
     holders = [s.engine for s in seats if layer in s.target]
     if not holders:
         return 2.0
-    pace = min(e.kind.step_pace for e in holders)
-    saved = max(0.0, pace - seat.engine.kind.step_pace) / pace
+    pace = min(e.kind.step_time_factor for e in holders)
+    saved = max(0.0, pace - seat.engine.kind.step_time_factor) / pace
     return 2.0 ** (1 - len(holders)) + saved
--- a/caroblug/core/placement/_keepers.py
+++ b/caroblug/core/placement/_serving_engines.py
@@ -5,7 +5,7 @@
 from caroblug.core.placement._types import Engine, LayerRange
 
 
-class Keepers:
+class ServingEngines:
     """Engines of one data centre that serve their layers all the time.
 
     An engine counts unless it is loading, an order to it may still be carried
@@ -19,7 +19,7 @@
         self._engines = {
             engine.name: engine
             for engine in engines
-            if not engine.loading and not engine.uncertain
+            if not engine.loading and not engine.order_unconfirmed
         }
         self._counts: collections.Counter[int] = collections.Counter()
         self._relied_on: set[int] = set()
@@ -27,7 +27,7 @@
             self._counts.update(engine.holds)
         # They may give their layers up at any moment.
         for engine in engines:
-            if engine.uncertain:
+            if engine.order_unconfirmed:
                 self._relied_on.update(engine.holds)
 
     def may_give_up(self, engine: Engine) -> bool:
@@ -52,7 +52,7 @@
         if self._engines.pop(engine.name, None) is not None:
             self._counts.subtract(engine.holds)
 
-    def replacing(
+    def remaining_holders(
         self, engine: Engine, target: LayerRange
     ) -> tuple[Engine, ...]:
         """Returns keepers of the layers that an engine gives up.
--- a/caroblug/core/placement/_types.py
+++ b/caroblug/core/placement/_types.py
@@ -37,14 +37,15 @@
     Attributes:
         name: Its name.
         memory_mb: Memory for layers and for requests, in MB.
-        step_pace: Time of a token step, as a multiple of the model's.
-        read_pace: Time of reading a prompt, as a multiple of the model's.
+        step_time_factor: Time of a token step, as a multiple of the model's.
+        prefill_time_factor: Time of reading a prompt, as a multiple of the
+            model's.
     """
 
     name: str
     memory_mb: float
-    step_pace: float
-    read_pace: float
+    step_time_factor: float
+    prefill_time_factor: float
 
 
 @attrs.frozen
@@ -56,49 +57,53 @@
         layer_mb: Memory of one layer's weights, in MB.
         kv_mb: Memory of one token in one layer, in MB.
         step_ms: Time of one token step through all layers, at pace 1.
-        usual_tokens: Mean prompt and answer of a request together, in tokens.
+        mean_request_tokens: Mean prompt and answer of a request together, in
+            tokens.
         kinds: Kinds of accelerator by name.
         load_s: Time to load all layers, in seconds.
-        crossing_ms: Time that a usual prompt's activations take from one data
+        transfer_ms: Time that a usual prompt's activations take from one data
             centre to another, when nobody else uses the link.
-        read_ms: Time of reading a usual prompt through all layers, at pace 1.
-        read_steps: Token steps of other requests that come between the pieces
-            in which a usual prompt is read.
+        prefill_ms: Time of reading a usual prompt through all layers, at pace
+            1.
+        prefill_steps: Token steps of other requests that come between the
+            pieces in which a usual prompt is read.
     """
 
     layers: int
     layer_mb: float
     kv_mb: float
     step_ms: float
-    usual_tokens: int
+    mean_request_tokens: int
     kinds: dict[str, EngineKind]
     load_s: float = 0.0
-    crossing_ms: float = 28.0
-    read_ms: float = 0.0
-    read_steps: int = 0
+    transfer_ms: float = 28.0
+    prefill_ms: float = 0.0
+    prefill_steps: int = 0
 
-    def most_layers(self, kind: EngineKind, streams: int) -> int:
+    def max_layers(self, kind: EngineKind, streams: int) -> int:
         """Returns how many layers fit beside the memory of `streams`.
 
         Args:
             kind: The engine's kind.
             streams: Requests of usual size that are to run at once.
         """
-        layer_mb = self.layer_mb + streams * self.usual_tokens * self.kv_mb
+        layer_mb = (
+            self.layer_mb + streams * self.mean_request_tokens * self.kv_mb
+        )
         return min(self.layers, int(kind.memory_mb / layer_mb))
 
-    def reading_ms(self, kind: EngineKind, layers: int) -> float:
+    def prefill_time_ms(self, kind: EngineKind, layers: int) -> float:
         """Returns how long an engine is busy with a usual prompt, in ms.
 
         Args:
             kind: The engine's kind.
             layers: Layers that the engine runs.
         """
-        reading_ms = self.read_ms * kind.read_pace
-        steps_ms = self.read_steps * self.step_ms * kind.step_pace
-        return (reading_ms + steps_ms) * layers / self.layers
+        prefill_time_ms = self.prefill_ms * kind.prefill_time_factor
+        steps_ms = self.prefill_steps * self.step_ms * kind.step_time_factor
+        return (prefill_time_ms + steps_ms) * layers / self.layers
 
-    def token_room(self, kind: EngineKind, layers: int) -> float:
+    def token_capacity(self, kind: EngineKind, layers: int) -> float:
         """Returns how many tokens fit beside `layers` layers."""
         if layers <= 0 or self.kv_mb <= 0:
             return 0.0
@@ -117,8 +122,8 @@
         kind: Kind of accelerator.
         holds: Layers it has, or will have once a load has ended.
         loading: Whether an order is still being carried out.
-        uncertain: Whether an order got no answer and may still be carried
-            out.
+        order_unconfirmed: Whether an order got no answer and may still be
+            carried out.
     """
 
     name: str
@@ -127,4 +132,4 @@
     kind: EngineKind
     holds: LayerRange = EMPTY
     loading: bool = False
-    uncertain: bool = False
+    order_unconfirmed: bool = False
--- a/caroblug/core/placement/tests/fleets.py
+++ b/caroblug/core/placement/tests/fleets.py
@@ -16,7 +16,7 @@
     layer_mb=1750.0,
     kv_mb=0.01065,
     step_ms=0.85,
-    usual_tokens=917,
+    mean_request_tokens=917,
     kinds={kind.name: kind for kind in (BIG, MIDDLE, SMALL)},
     load_s=14.0,
 )
@@ -61,7 +61,7 @@
     return engines
 
 
-def carry_out(engines: list[Engine], moves) -> list[Engine]:
+def apply_moves(engines: list[Engine], moves) -> list[Engine]:
     """Returns the engines after orders have been carried out."""
     targets = {move.engine.name: move.target for move in moves}
     return [
--- a/caroblug/core/placement/tests/test_paths.py
+++ b/caroblug/core/placement/tests/test_paths.py
@@ -18,7 +18,7 @@
 from caroblug.core.placement.tests.fleets import (
     BIG,
     MODEL,
-    carry_out,
+    apply_moves,
     make_engine,
     make_fleet,
 )
@@ -36,7 +36,7 @@
 
 
 def planned():
-    return carry_out(make_fleet(), plan_moves(make_fleet(), MODEL))
+    return apply_moves(make_fleet(), plan_moves(make_fleet(), MODEL))
 
 
 def test_calm_path_stays_in_the_entrys_data_centre():
@@ -58,17 +58,17 @@
 
 def test_thin_link_is_not_crossed_while_a_whole_chain_has_room():
     # Guards against streams that stand still as prompts fill a thin link.
-    model = attrs.evolve(MODEL, crossing_ms=97.0)
+    model = attrs.evolve(MODEL, transfer_ms=97.0)
     engines = [e for e in planned() if e.name != "c-big-0"]
     loads = EngineLoads()
     for engine in engines:
         if engine.data_centre != "c":
-            room = model.token_room(engine.kind, len(engine.holds))
-            loads.open((engine.name,), int(0.9 * room))
+            room = model.token_capacity(engine.kind, len(engine.holds))
+            loads.add_request((engine.name,), int(0.9 * room))
 
     path = choose_path(engines, model, loads, "c", random.Random(1))
 
-    assert not path.crosses
+    assert not path.crosses_data_centres
 
 
 def test_part_may_be_cut_from_a_longer_range():
@@ -108,8 +108,8 @@
         make_engine("y", BIG, first=16, end=80),
     ]
     loads = EngineLoads()
-    room = MODEL.token_room(BIG, 16)
-    loads.open(("x",), int(room * 0.9))
+    room = MODEL.token_capacity(BIG, 16)
+    loads.add_request(("x",), int(room * 0.9))
 
     assert choose(engines, loads).names == ("x2", "y")
 
@@ -134,7 +134,7 @@
         make_engine("y", BIG, first=0, end=40),
     ]
 
-    assert choose(engines, first_not=frozenset({"x"})).names == ("y", "x")
+    assert choose(engines, excluded_first=frozenset({"x"})).names == ("y", "x")
 
 
 @hypothesis.given(st.sets(st.integers(0, 37), max_size=20), st.integers())
@@ -160,12 +160,12 @@
     # Guards against load counted three times, which sends streams far away.
     loads = EngineLoads()
     loads.gateways = 26
-    loads.neighbours = 6
-    loads.open(("x",), 100)
+    loads.local_gateways = 6
+    loads.add_request(("x",), 100)
     for number in range(5):
-        loads.hear(f"near{number}", {"x": 100.0})
+        loads.update_peer(f"near{number}", {"x": 100.0})
     for number in range(3):
-        loads.hear(f"far{number}", {"y": 10.0}, near=False)
+        loads.update_peer(f"far{number}", {"y": 10.0}, local=False)
 
     assert loads.tokens("x") == 600
     assert loads.tokens("y") == 30 * 20 / 3
@@ -174,15 +174,15 @@
 def test_loads_of_gateways_that_are_not_heard_are_scaled_up():
     loads = EngineLoads()
     loads.gateways = 4
-    loads.open(("x",), 100)
-    loads.hear("other", {"x": 300.0})
+    loads.add_request(("x",), 100)
+    loads.update_peer("other", {"x": 300.0})
 
     assert loads.tokens("x") == 800
 
 
 def test_load_of_a_silent_gateway_is_forgotten():
     loads = EngineLoads()
-    loads.hear("other", {"x": 300.0})
-    loads.forget("other")
+    loads.update_peer("other", {"x": 300.0})
+    loads.remove_peer("other")
 
     assert loads.tokens("x") == 0
--- a/caroblug/core/placement/tests/test_planner.py
+++ b/caroblug/core/placement/tests/test_planner.py
@@ -12,8 +12,8 @@
     Engine,
     EngineLoads,
     LayerRange,
-    chain_room,
     choose_path,
+    compute_requests_per_chain,
     plan_moves,
 )
 from caroblug.core.placement._planner import STREAMS_PER_CHAIN
@@ -22,7 +22,7 @@
     MIDDLE,
     MODEL,
     SMALL,
-    carry_out,
+    apply_moves,
     make_engine,
     make_fleet,
 )
@@ -42,30 +42,30 @@
 
 
 def test_first_start_gives_each_data_centre_a_whole_cover():
-    engines = carry_out(make_fleet(), plan_moves(make_fleet(), MODEL))
+    engines = apply_moves(make_fleet(), plan_moves(make_fleet(), MODEL))
 
     for local in by_data_centre(engines).values():
         assert covered(local) == set(range(MODEL.layers))
 
 
 def test_first_start_uses_every_engine_and_keeps_room_for_requests():
-    engines = carry_out(make_fleet(), plan_moves(make_fleet(), MODEL))
+    engines = apply_moves(make_fleet(), plan_moves(make_fleet(), MODEL))
 
     assert all(len(e.holds) for e in engines)
     for engine in engines:
-        room = MODEL.token_room(engine.kind, len(engine.holds))
-        assert room >= 30 * MODEL.usual_tokens
+        room = MODEL.token_capacity(engine.kind, len(engine.holds))
+        assert room >= 30 * MODEL.mean_request_tokens
 
 
 def test_a_finished_plan_is_left_alone():
-    engines = carry_out(make_fleet(), plan_moves(make_fleet(), MODEL))
+    engines = apply_moves(make_fleet(), plan_moves(make_fleet(), MODEL))
 
     assert plan_moves(engines, MODEL) == []
 
 
 def test_engine_that_came_back_empty_takes_its_hole_again():
     # Guards against needless loads while an engine that is back fills its hole.
-    engines = carry_out(make_fleet(), plan_moves(make_fleet(), MODEL))
+    engines = apply_moves(make_fleet(), plan_moves(make_fleet(), MODEL))
     lost = next(e for e in engines if e.name == "c-middle-0")
     back = make_engine(lost.name, lost.kind, lost.data_centre)
     engines = [back if e is lost else e for e in engines]
@@ -73,17 +73,17 @@
     moves = plan_moves(engines, MODEL)
 
     assert [m.engine.name for m in moves] == [lost.name]
-    local = by_data_centre(carry_out(engines, moves))["c"]
+    local = by_data_centre(apply_moves(engines, moves))["c"]
     assert covered(local) == set(range(MODEL.layers))
 
 
 def test_lost_for_good_is_replaced_by_engines_whose_layers_others_hold():
     # Guards against a data centre that stays without a whole chain.
-    engines = carry_out(make_fleet(), plan_moves(make_fleet(), MODEL))
+    engines = apply_moves(make_fleet(), plan_moves(make_fleet(), MODEL))
     lost = next(e for e in engines if e.name == "a-middle-0")
     engines = [e for e in engines if e is not lost]
 
-    after = carry_out(engines, plan_moves(engines, MODEL))
+    after = apply_moves(engines, plan_moves(engines, MODEL))
 
     assert covered(by_data_centre(after)["a"]) == set(range(MODEL.layers))
 
@@ -112,7 +112,7 @@
 
     moves = plan_moves(engines, MODEL)
 
-    assert covered(carry_out(engines, moves)) == set(range(MODEL.layers))
+    assert covered(apply_moves(engines, moves)) == set(range(MODEL.layers))
     assert {m.engine.name for m in moves} == {"n1", "n2"}
 
 
@@ -137,7 +137,7 @@
     # Guards against streams that cross though a second chain would fit here.
     engines = [make_engine(f"m{i}", MIDDLE) for i in range(20)]
 
-    after = carry_out(engines, plan_moves(engines, MODEL))
+    after = apply_moves(engines, plan_moves(engines, MODEL))
 
     for layer in range(MODEL.layers):
         assert sum(layer in e.holds for e in after) >= 2
@@ -147,16 +147,16 @@
     # Guards against engines that are filled to the brim beside idle ones.
     engines = [make_engine(f"m{i}", MIDDLE) for i in range(12)]
 
-    after = carry_out(engines, plan_moves(engines, MODEL))
+    after = apply_moves(engines, plan_moves(engines, MODEL))
 
-    rooms = [MODEL.token_room(e.kind, len(e.holds)) for e in after]
+    rooms = [MODEL.token_capacity(e.kind, len(e.holds)) for e in after]
     assert all(len(e.holds) for e in after)
-    assert min(rooms) >= STREAMS_PER_CHAIN * MODEL.usual_tokens
+    assert min(rooms) >= STREAMS_PER_CHAIN * MODEL.mean_request_tokens
 
 
 def test_chain_is_made_of_the_engines_that_save_most_time():
     # Guards against slow streams, as fast engines hold few layers of the chain.
-    engines = carry_out(make_fleet(), plan_moves(make_fleet(), MODEL))
+    engines = apply_moves(make_fleet(), plan_moves(make_fleet(), MODEL))
 
     path = choose_path(engines, MODEL, EngineLoads(), "a", random.Random(1))
 
@@ -168,7 +168,7 @@
 
 def test_engines_beside_the_chain_hold_its_layers_a_second_time():
     # Guards against a data centre that all streams leave when one engine dies.
-    engines = carry_out(make_fleet(), plan_moves(make_fleet(), MODEL))
+    engines = apply_moves(make_fleet(), plan_moves(make_fleet(), MODEL))
     local = by_data_centre(engines)["a"]
 
     twice = [
@@ -182,10 +182,10 @@
 
 def test_fast_engine_that_comes_back_goes_where_only_slow_ones_are():
     # Guards against streams that stay slow after a fast engine is back.
-    engines = carry_out(make_fleet(), plan_moves(make_fleet(), MODEL))
+    engines = apply_moves(make_fleet(), plan_moves(make_fleet(), MODEL))
     lost = next(e for e in engines if e.name == "a-big-0")
     rest = [e for e in engines if e is not lost]
-    rest = carry_out(rest, plan_moves(rest, MODEL))
+    rest = apply_moves(rest, plan_moves(rest, MODEL))
     back = make_engine("a-big-new", BIG, "a")
 
     moves = plan_moves([*rest, back], MODEL)
@@ -193,13 +193,13 @@
     target = next(m.target for m in moves if m.engine.name == "a-big-new")
     paces = [
         min(
-            e.kind.step_pace
+            e.kind.step_time_factor
             for e in by_data_centre(rest)["a"]
             if layer in e.holds
         )
         for layer in range(target.first, target.end)
     ]
-    assert min(paces) > BIG.step_pace
+    assert min(paces) > BIG.step_time_factor
 
 
 kinds = st.sampled_from((BIG, MIDDLE, SMALL))
@@ -237,7 +237,7 @@
 
 @hypothesis.given(fleets())
 def test_a_plan_never_uncovers_a_layer_of_a_data_centre(engines):
-    after = carry_out(engines, plan_moves(engines, MODEL))
+    after = apply_moves(engines, plan_moves(engines, MODEL))
     groups = by_data_centre(after)
 
     for data_centre, local in by_data_centre(engines).items():
@@ -250,7 +250,7 @@
         moves = plan_moves(engines, MODEL)
         if not moves:
             return
-        engines = carry_out(engines, moves)
+        engines = apply_moves(engines, moves)
     assert plan_moves(engines, MODEL) == []
 
 
@@ -299,16 +299,16 @@
 )
 def test_room_follows_the_gateways_that_send(gateways, data_centres, room):
     # Guards against chains full at the first crash, with many gateways.
-    assert chain_room(gateways, data_centres) == room
+    assert compute_requests_per_chain(gateways, data_centres) == room
 
 
 def test_chain_keeps_the_room_that_is_asked_for():
     engines = [make_engine(f"m{i}", MIDDLE) for i in range(12)]
 
-    after = carry_out(engines, plan_moves(engines, MODEL, 60))
+    after = apply_moves(engines, plan_moves(engines, MODEL, 60))
 
-    rooms = [MODEL.token_room(e.kind, len(e.holds)) for e in after]
-    assert min(rooms) >= 60 * MODEL.usual_tokens
+    rooms = [MODEL.token_capacity(e.kind, len(e.holds)) for e in after]
+    assert min(rooms) >= 60 * MODEL.mean_request_tokens
 
 
 def test_two_holders_of_the_same_layers_are_not_both_sent_away():
@@ -336,7 +336,7 @@
         if e.data_centre == data_centre
         and layer in e.holds
         and not e.loading
-        and not e.uncertain
+        and not e.order_unconfirmed
     ]
 
 
@@ -347,7 +347,9 @@
         for layer in move.engine.holds:
             if layer not in move.target:
                 assert serving(staying, move.engine.data_centre, layer)
-                assert any(layer in keeper.holds for keeper in move.keepers)
+                assert any(
+                    layer in keeper.holds for keeper in move.remaining_holders
+                )
 
 
 @hypothesis.given(fleets(), st.randoms(use_true_random=False))
@@ -363,7 +365,7 @@
                 holds=targets.get(engine.name, engine.holds),
                 loading=engine.name in targets
                 or (engine.loading and rng.random() < 0.5),
-                uncertain=rng.random() < 0.1,
+                order_unconfirmed=rng.random() < 0.1,
             )
             for engine in engines
         ]
@@ -372,7 +374,9 @@
 @hypothesis.given(fleets(), st.randoms(use_true_random=False))
 def test_engines_that_may_still_be_sent_away_are_not_relied_on(engines, rng):
     # Guards against a late order that takes the last holder of a layer away.
-    engines = [attrs.evolve(e, uncertain=rng.random() < 0.3) for e in engines]
+    engines = [
+        attrs.evolve(e, order_unconfirmed=rng.random() < 0.3) for e in engines
+    ]
 
     assert_given_up_layers_are_served(engines, plan_moves(engines, MODEL))
 
--- a/caroblug/core/placement/tests/test_returning_callers.py
+++ b/caroblug/core/placement/tests/test_prefill_spread.py
@@ -15,13 +15,13 @@
     MIDDLE,
     MODEL,
     SMALL,
-    carry_out,
+    apply_moves,
     make_engine,
 )
 
 GATEWAYS = 14
 FIRST_EVENT_AIM_MS = 600
-MODEL_READ = attrs.evolve(MODEL, kv_mb=0.0041, read_ms=2.15, read_steps=6)
+MODEL_READ = attrs.evolve(MODEL, kv_mb=0.0041, prefill_ms=2.15, prefill_steps=6)
 
 
 def make_data_centre():
@@ -32,7 +32,7 @@
         for kind, count in counts
         for i in range(count)
     ]
-    return carry_out(engines, plan_moves(engines, MODEL_READ))
+    return apply_moves(engines, plan_moves(engines, MODEL_READ))
 
 
 def send(requests_each: int) -> collections.Counter[str]:
@@ -41,11 +41,11 @@
     prompts: collections.Counter[str] = collections.Counter()
     for gateway in range(GATEWAYS):
         loads = EngineLoads()
-        loads.neighbours = GATEWAYS
+        loads.local_gateways = GATEWAYS
         rng = random.Random(gateway)
         for _ in range(requests_each):
             path = choose_path(engines, MODEL_READ, loads, "a", rng)
-            loads.begin_reading(path.names)
+            loads.begin_prefill(path.names)
             prompts.update(path.names)
     return prompts
 
@@ -56,7 +56,7 @@
 
     longest_ms = max(
         prompts[engine.name]
-        * MODEL_READ.reading_ms(engine.kind, len(engine.holds))
+        * MODEL_READ.prefill_time_ms(engine.kind, len(engine.holds))
         for engine in make_data_centre()
     )
     assert longest_ms <= FIRST_EVENT_AIM_MS
@@ -75,8 +75,8 @@
 
 def test_prompt_that_has_been_read_is_counted_no_more():
     loads = EngineLoads()
-    loads.neighbours = GATEWAYS
-    loads.begin_reading(("x", "y"))
-    loads.end_reading(("x", "y"))
+    loads.local_gateways = GATEWAYS
+    loads.begin_prefill(("x", "y"))
+    loads.end_prefill(("x", "y"))
 
-    assert loads.unread("x") == 0
+    assert loads.pending_prefills("x") == 0
--- a/caroblug/gateway/_calls.py
+++ b/caroblug/gateway/_calls.py
@@ -78,7 +78,7 @@
     def serve(self, pending: Pending) -> None:
         """Answers one call, at the end of its time at the latest."""
         clock = self._context.clock
-        repeatable = pending.admitted.route.repeatable
+        repeatable = pending.admitted.route.retryable
         last = Tried(Next.NOT_SENT, "no backend server")
         while pending.sends < _MOST_SENDS:
             if pending.left_ms(clock.now_ms()) <= 0:
@@ -206,7 +206,7 @@
     def _patience_s(self, pending: Pending) -> float:
         left_s = pending.left_ms(self._context.clock.now_ms()) / 1000
         route = pending.admitted.route
-        if route.repeatable and pending.ran + 1 < route.max_attempts:
+        if route.retryable and pending.ran + 1 < route.max_attempts:
             return left_s * _PATIENCE
         return left_s
 
@@ -215,7 +215,7 @@
         route = pending.admitted.route
         return (
             tried.head.status >= _ERROR
-            and route.repeatable
+            and route.retryable
             and pending.ran < route.max_attempts
         )
 
--- a/caroblug/gateway/_fleet.py
+++ b/caroblug/gateway/_fleet.py
@@ -212,7 +212,7 @@
         service: Service,
         now_ms: int,
         avoid: frozenset[str] = frozenset(),
-        first_not: frozenset[str] = frozenset(),
+        excluded_first: frozenset[str] = frozenset(),
         after: PathPart | None = None,
     ) -> Path | NoPath:
         """Returns a path over the engines of a service.
@@ -221,7 +221,7 @@
             service: The service; it has a model.
             now_ms: Time now.
             avoid: Engines that must not be on the path.
-            first_not: Engines that it must not begin with.
+            excluded_first: Engines that it must not begin with.
             after: First part that is kept.
         """
         engines = [
@@ -237,7 +237,7 @@
             self._loads,
             self._data_centre,
             self._rng,
-            first_not,
+            excluded_first,
             after,
         )
 
@@ -399,8 +399,8 @@
             return engine
         kind = attrs.evolve(
             engine.kind,
-            step_pace=engine.kind.step_pace * pace,
-            read_pace=engine.kind.read_pace * pace,
+            step_time_factor=engine.kind.step_time_factor * pace,
+            prefill_time_factor=engine.kind.prefill_time_factor * pace,
         )
         return attrs.evolve(engine, kind=kind)
 
--- a/caroblug/gateway/_peers.py
+++ b/caroblug/gateway/_peers.py
@@ -234,7 +234,7 @@
             "name": settings.instance,
             "address": list(settings.peers),
             "data_centre": settings.data_centre,
-            "loads": context.fleet.loads.own(),
+            "loads": context.fleet.loads.own_tokens(),
             "version": self._version(),
             "version_age_ms": self._readers.version_age_ms,
             "rank": self._readers.rank,
@@ -426,11 +426,11 @@
         tokens = {str(key): float(value) for key, value in loads.items()}
         self._heard_ms[name] = self._context.clock.now_ms()
         loads = self._context.fleet.loads
-        loads.hear(name, tokens, near=name not in self._far)
+        loads.update_peer(name, tokens, local=name not in self._far)
         # Whose data centre isn't known yet is no neighbour: at the start
         # that is everybody, for a second.
         known = self._near & set(self._members)
-        loads.neighbours = len(known) + 1
+        loads.local_gateways = len(known) + 1
 
     def _on_suspects(self, names: list) -> None:
         """Looks into what another gateway takes to be gone.
@@ -505,7 +505,7 @@
                 del self._heard_ms[name]
                 self._tenures.pop(name, None)
                 self._repeats_left.pop(name, None)
-                self._context.fleet.loads.forget(name)
+                self._context.fleet.loads.remove_peer(name)
 
     def _enough(self) -> bool:
         """Returns whether as many are known as are told each time."""
--- a/caroblug/gateway/_placement.py
+++ b/caroblug/gateway/_placement.py
@@ -13,8 +13,8 @@
 from caroblug.core.placement import (
     Engine,
     Move,
-    chain_room,
-    covers,
+    compute_requests_per_chain,
+    covers_model,
     plan_moves,
 )
 from caroblug.gateway._context import Context
@@ -212,7 +212,7 @@
             and fleet.pace(e.name) < _TOO_SLOW
         ]
         sound = [e for e in engines if not fleet.is_failing(e.name)]
-        return engines if covers(sound, model_of(service)) else sound
+        return engines if covers_model(sound, model_of(service)) else sound
 
     def _room(self, engines: list[Engine]) -> int:
         """Returns the requests that a chain keeps room for.
@@ -223,7 +223,9 @@
         gateways = self._context.fleet.loads.gateways
         self._most_gateways = max(self._most_gateways, gateways)
         data_centres = {e.data_centre for e in engines}
-        return chain_room(self._most_gateways, len(data_centres))
+        return compute_requests_per_chain(
+            self._most_gateways, len(data_centres)
+        )
 
     def _settling(self, engines: list[Engine], now_ms: int) -> bool:
         """Returns whether the first list is still growing.
@@ -300,7 +302,7 @@
         order that was carried out late.
         """
         fleet = self._context.fleet
-        for keeper in move.keepers:
+        for keeper in move.remaining_holders:
             report = self._context.dialect.read_report(keeper.address)
             now_ms = self._context.clock.now_ms()
             if isinstance(report, Unavailable):
--- a/caroblug/gateway/_stream_repair.py
+++ b/caroblug/gateway/_stream_repair.py
@@ -47,7 +47,7 @@
             path = self._choice.choose_other_parts(refused)
             if isinstance(path, NoPath):
                 return "part is lost, no other one"
-            if path.crosses and self._choice.prepare_another_run():
+            if path.crosses_data_centres and self._choice.prepare_another_run():
                 # All that was read so far would have to cross, for every
                 # stream at once; a whole path elsewhere reads it again sooner.
                 return "part is lost, the next one is far"
--- a/caroblug/gateway/_stream_state.py
+++ b/caroblug/gateway/_stream_state.py
@@ -64,7 +64,7 @@
         self.lost = ""
         self._take_path(path)
         self._reading = path.names
-        self.context.fleet.loads.begin_reading(self._reading)
+        self.context.fleet.loads.begin_prefill(self._reading)
         self.exchange = Exchange(path.first.address)
         self.context.fleet.enter(path.first.name)
 
@@ -83,7 +83,7 @@
 
     def end_reading(self) -> None:
         """Notes that no engine has this run's prompt to read any more."""
-        self.context.fleet.loads.end_reading(self._reading)
+        self.context.fleet.loads.end_prefill(self._reading)
         self._reading = ()
 
     def avoid_engine(self, name: str, reason: str) -> None:
@@ -99,10 +99,12 @@
 
     def _take_path(self, path: Path) -> None:
         self.path = path
-        self.context.fleet.loads.open(path.names, self._mean_tokens())
+        self.context.fleet.loads.add_request(path.names, self._mean_tokens())
 
     def _leave_path(self) -> None:
-        self.context.fleet.loads.close(self.path.names, self._mean_tokens())
+        self.context.fleet.loads.remove_request(
+            self.path.names, self._mean_tokens()
+        )
 
     def _mean_tokens(self) -> int:
         """Returns the memory that the stream takes on the mean of its time.
--- a/caroblug/gateway/_timeliness.py
+++ b/caroblug/gateway/_timeliness.py
@@ -46,7 +46,7 @@
         """Returns which objective of a route was missed; empty if none."""
         if self.first_ms is None:
             return ""
-        if self.first_ms > route.goal_ms:
+        if self.first_ms > route.latency_target_ms:
             return "first_event"
         if route.pause_ms and self.pause_ms > route.pause_ms:
             return "pause"
--- a/caroblug/gateway/tests/test_placement.py
+++ b/caroblug/gateway/tests/test_placement.py
@@ -365,7 +365,7 @@
 
     service = context.configuration.services["pool"]
     engines = context.fleet.engines(service, context.clock.now_ms())
-    assert [e.name for e in engines if e.uncertain] == ["p"]
+    assert [e.name for e in engines if e.order_unconfirmed] == ["p"]
 
 
 def test_layers_under_an_unanswered_order_are_known_to_the_next_holder():
@@ -383,7 +383,7 @@
     service = context.configuration.services["pool"]
     (engine,) = context.fleet.engines(service, context.clock.now_ms())
     assert engine.holds == LayerRange(0, 16)
-    assert engine.uncertain
+    assert engine.order_unconfirmed
 
 
 @pytest.mark.parametrize(
--- a/caroblug/gateway/tests/test_timeliness.py
+++ b/caroblug/gateway/tests/test_timeliness.py
@@ -4,7 +4,14 @@
 from caroblug.gateway._timeliness import Timeliness
 
 ROUTE = Route(
-    "r", "h", "/", RouteKind.STREAMING, (), 20_000, goal_ms=500, pause_ms=200
+    "r",
+    "h",
+    "/",
+    RouteKind.STREAMING,
+    (),
+    20_000,
+    latency_target_ms=500,
+    pause_ms=200,
 )
 
 
