--- a/caroblug/gateway/_holder_watch.py
+++ b/caroblug/gateway/_holder_watch.py
@@ -16,7 +16,7 @@
 
 @attrs.define
 class HolderWatch:
-    """What a gateway has heard of holders, its own tenure aside.
+    """What a gateway has heard of holders, its own lease aside.
 
     Attributes:
         began_ms: When the gateway began to listen.
--- a/caroblug/gateway/_interfaces.py
+++ b/caroblug/gateway/_interfaces.py
@@ -107,7 +107,7 @@
 
 
 @attrs.frozen
-class Tenure:
+class PlacementLease:
     """Whether this entry is the one that places layers.
 
     Attributes:
@@ -151,7 +151,9 @@
         """Reads the list of backend servers."""
 
     @abc.abstractmethod
-    def keep_tenure(self, lease_ms: int) -> Tenure | Unavailable:
+    def renew_placement_lease(
+        self, lease_ms: int
+    ) -> PlacementLease | Unavailable:
         """Takes part in, or renews, the choice of who places layers."""
 
     @abc.abstractmethod
@@ -167,8 +169,8 @@
         """Reads a list that another gateway has handed on."""
 
     @abc.abstractmethod
-    def end_tenure(self) -> None:
-        """Gives up at once what `keep_tenure` gave."""
+    def release_placement_lease(self) -> None:
+        """Gives up at once what `renew_placement_lease` gave."""
 
 
 @attrs.frozen
--- a/caroblug/gateway/_peers.py
+++ b/caroblug/gateway/_peers.py
@@ -60,7 +60,7 @@
 or are lost."""
 
 
-class TenureState(enum.Enum):
+class LeaseState(enum.Enum):
     """How a gateway stands to the lease on placing layers."""
 
     NONE = "none"
@@ -88,7 +88,7 @@
         self._heard_ms: dict[str, int] = {}
         self._busy: set[str] = set()
         self._fetch_from: set[str] = set()
-        self._tenures: dict[str, TenureState] = {}
+        self._lease_states: dict[str, LeaseState] = {}
         self._near: set[str] = set()
         self._far: set[str] = set()
         self._holders = HolderWatch(context.clock.now_ms())
@@ -101,7 +101,7 @@
         self._lists = Packer()
         self._calls = PeerCalls(context)
         self._calls.serve(TELL_PATH, self._take)
-        self.tenure = TenureState.NONE
+        self.lease_state = LeaseState.NONE
 
     @property
     def readers(self) -> Readers:
@@ -187,7 +187,7 @@
             and name not in wanted
         ]
         rng = self._context.rng
-        reads = bool(self._tenures) and self.is_first_at_home()
+        reads = bool(self._lease_states) and self.is_first_at_home()
         most = _READER_PARTNERS if reads else _PARTNERS
         chosen = rng.sample(wanted, min(len(wanted), most))
         return chosen + self._sample(names, most - len(chosen))
@@ -251,7 +251,7 @@
             "leaving": context.fleet.recently_leaving(now_ms),
             "unanswered": context.fleet.uncertain(now_ms),
             "crashes": self._crashes.tell(),
-            "tenure": self.tenure.value,
+            "tenure": self.lease_state.value,
             "holder_age_ms": self._holder_age_ms(now_ms),
         }
 
@@ -355,14 +355,14 @@
         }
         self._crashes.hear(message["crashes"])
         now_ms = self._context.clock.now_ms()
-        before = self._tenures.get(name)
-        self._tenures[name] = TenureState(message["tenure"])
+        before = self._lease_states.get(name)
+        self._lease_states[name] = LeaseState(message["tenure"])
         holder_age_ms = int(message["holder_age_ms"])
         if holder_age_ms < UNKNOWN_MS:
             self._holders.on_heard(now_ms - holder_age_ms)
-        if (before, self._tenures[name]) == (
-            TenureState.HELD,
-            TenureState.LEAVING,
+        if (before, self._lease_states[name]) == (
+            LeaseState.HELD,
+            LeaseState.LEAVING,
         ):
             # It gives no more orders: a deputy need not wait for its silence.
             self._holders.on_left(now_ms)
@@ -458,7 +458,7 @@
         That is the first by name of those that are heard and stay, once no
         holder of the lease has been heard of for some time.
         """
-        if self.tenure is TenureState.HELD:
+        if self.lease_state is LeaseState.HELD:
             return False
         if not self._holders.is_missing(self._context.clock.now_ms()):
             return False
@@ -467,25 +467,25 @@
 
     def hear_holder(self) -> bool:
         """Returns whether another gateway says that it holds the lease."""
-        return TenureState.HELD in self._tenures.values()
+        return LeaseState.HELD in self._lease_states.values()
 
     def _staying(self) -> list[str]:
         """Returns the names of gateways that are heard and don't leave."""
         return [
             name
-            for name, tenure in self._tenures.items()
-            if tenure is not TenureState.LEAVING
+            for name, state in self._lease_states.items()
+            if state is not LeaseState.LEAVING
         ]
 
     def _holder_age_ms(self, now_ms: int) -> int:
         """Returns how long ago a holder of the lease was heard of."""
-        if self.tenure is TenureState.HELD:
+        if self.lease_state is LeaseState.HELD:
             return 0
         return self._holders.age_ms(now_ms)
 
     def describe(self) -> dict[str, str]:
         """Returns how the gateways that are heard stand to the lease."""
-        return {name: t.value for name, t in self._tenures.items()}
+        return {name: t.value for name, t in self._lease_states.items()}
 
     def _forget_old(self) -> None:
         now_ms = self._context.clock.now_ms()
@@ -503,7 +503,7 @@
         for name, heard_ms in list(self._heard_ms.items()):
             if now_ms - heard_ms > _SILENT_MS:
                 del self._heard_ms[name]
-                self._tenures.pop(name, None)
+                self._lease_states.pop(name, None)
                 self._repeats_left.pop(name, None)
                 self._context.fleet.loads.forget(name)
 
--- a/caroblug/gateway/_placement.py
+++ b/caroblug/gateway/_placement.py
@@ -25,7 +25,7 @@
     Registry,
     Unavailable,
 )
-from caroblug.gateway._peers import Peers, TenureState
+from caroblug.gateway._peers import LeaseState, Peers
 
 _RENEW_MS = 800
 _LEASE_MS = 2600
@@ -129,24 +129,24 @@
         """
         asked_ms = self._context.clock.now_ms()
         held = self.holder
-        tenure = self._registry.keep_tenure(_LEASE_MS)
-        answered = not isinstance(tenure, Unavailable)
+        lease = self._registry.renew_placement_lease(_LEASE_MS)
+        answered = not isinstance(lease, Unavailable)
         if answered:
-            self._until_ms = asked_ms + _LEASE_MS if tenure.holder else -1
+            self._until_ms = asked_ms + _LEASE_MS if lease.holder else -1
             self._stays = False
-            self._context.fleet.loads.gateways = tenure.gateways
+            self._context.fleet.loads.gateways = lease.gateways
         elif held:
             self._stays = True
-        self._peers.tenure = self._state()
+        self._peers.lease_state = self._state()
         if held != self.holder:
             self._context.log.write("placement.lease", held=self.holder)
-        return answered and held and not tenure.holder
+        return answered and held and not lease.holder
 
-    def _state(self) -> TenureState:
+    def _state(self) -> LeaseState:
         if self._stopped:
-            return TenureState.LEAVING
+            return LeaseState.LEAVING
         held = self.holder or self._stays_on()
-        return TenureState.HELD if held else TenureState.NONE
+        return LeaseState.HELD if held else LeaseState.NONE
 
     def run_plan(self) -> None:
         """Compares plan and fleet until stopped."""
@@ -175,10 +175,10 @@
     def stop(self) -> None:
         """Gives the lease back."""
         self._stopped = True
-        self._peers.tenure = self._state()
+        self._peers.lease_state = self._state()
         if self.holder:
             self._until_ms = -1
-            self._registry.end_tenure()
+            self._registry.release_placement_lease()
 
     def _place(self, service: Service) -> None:
         context = self._context
--- a/caroblug/gateway/tests/fakes.py
+++ b/caroblug/gateway/tests/fakes.py
@@ -14,8 +14,8 @@
     GatewaySettings,
     Member,
     OrderOutcome,
+    PlacementLease,
     Registry,
-    Tenure,
     Unavailable,
 )
 from caroblug.gateway._context import Context
@@ -78,7 +78,7 @@
     """A store whose answers a test sets."""
 
     def __init__(self) -> None:
-        self.tenure: Tenure | Unavailable = Tenure(True, 2)
+        self.lease: PlacementLease | Unavailable = PlacementLease(True, 2)
         self.members: tuple[Member, ...] | Unavailable = ()
 
     def read_configuration(self):
@@ -90,8 +90,8 @@
     def read_backends(self):
         return Unavailable("not set")
 
-    def keep_tenure(self, lease_ms):
-        return self.tenure
+    def renew_placement_lease(self, lease_ms):
+        return self.lease
 
     def read_members(self):
         return self.members
@@ -102,8 +102,8 @@
     def decode_listing(self, raw, end):
         return Unavailable("not set")
 
-    def end_tenure(self):
-        self.tenure = Tenure(False)
+    def release_placement_lease(self):
+        self.lease = PlacementLease(False)
 
 
 def make_context(name: str = "g1", clock: ManualClock | None = None) -> Context:
--- a/caroblug/gateway/tests/test_configuration_spread.py
+++ b/caroblug/gateway/tests/test_configuration_spread.py
@@ -9,7 +9,7 @@
 
 from caroblug.gateway._interfaces import Member
 from caroblug.gateway._packing import Packer, pack, unpack
-from caroblug.gateway._peers import TenureState
+from caroblug.gateway._peers import LeaseState
 from caroblug.gateway.tests.test_placement import make_placement, tell
 
 RAW = "7" + " " * 100_000
@@ -26,7 +26,7 @@
             tell(
                 peers,
                 other,
-                TenureState.NONE,
+                LeaseState.NONE,
                 version=context.configuration.version,
                 version_age_ms=version_age_ms,
             )
--- a/caroblug/gateway/tests/test_peers.py
+++ b/caroblug/gateway/tests/test_peers.py
@@ -1,7 +1,7 @@
 """Whom a gateway tells, and how many."""
 
 from caroblug.gateway._interfaces import Member
-from caroblug.gateway._peers import TenureState
+from caroblug.gateway._peers import LeaseState
 from caroblug.gateway.tests.test_fleet import make_engine
 from caroblug.gateway.tests.test_placement import (
     make_placement,
@@ -18,7 +18,7 @@
     for name, data_centre in places.items():
         peers._on_member(Member(name, ("10.0.0.1", 1)))
         if heard:
-            tell(peers, name, TenureState.NONE, data_centre=data_centre)
+            tell(peers, name, LeaseState.NONE, data_centre=data_centre)
     peers._heard_ms.clear()
     return peers
 
@@ -62,7 +62,7 @@
     with_engines(context, make_engine("x", 0, 40), make_engine("y", 0, 40))
     context.clock.advance(3000)
 
-    tell(peers, "g1", TenureState.NONE, leaving={"x": 200})
+    tell(peers, "g1", LeaseState.NONE, leaving={"x": 200})
 
     assert [b.name for b in context.fleet.backends("pool")] == ["y"]
 
@@ -71,7 +71,7 @@
     context, _, peers, _ = make_placement("g0")
     with_engines(context, make_engine("x", 0, 40))
 
-    tell(peers, "g1", TenureState.NONE, leaving={"x": 3000})
+    tell(peers, "g1", LeaseState.NONE, leaving={"x": 3000})
 
     assert [b.name for b in context.fleet.backends("pool")] == ["x"]
 
--- a/caroblug/gateway/tests/test_placement.py
+++ b/caroblug/gateway/tests/test_placement.py
@@ -4,9 +4,9 @@
 import pytest
 
 from caroblug.core.placement import LayerRange
-from caroblug.gateway import OrderOutcome, Tenure, Unavailable
+from caroblug.gateway import OrderOutcome, PlacementLease, Unavailable
 from caroblug.gateway._crashes import Crashes
-from caroblug.gateway._peers import Peers, TenureState
+from caroblug.gateway._peers import LeaseState, Peers
 from caroblug.gateway._placement import Placement
 from caroblug.gateway.tests.fakes import FakeRegistry, make_context
 from caroblug.gateway.tests.test_fleet import list_of, make_engine
@@ -35,7 +35,7 @@
 def tell(
     peers,
     name,
-    tenure,
+    lease_state,
     holder_age_ms=100_000,
     data_centre="a",
     leaving=None,
@@ -57,7 +57,7 @@
         "list_age_ms": 1_000_000,
         "list_digest": "",
         "list_end": 0,
-        "tenure": tenure.value,
+        "tenure": lease_state.value,
         "holder_age_ms": holder_age_ms,
     }
     peers._take_news(name, message)
@@ -72,11 +72,11 @@
     clock = ManualClock(100_000)
     _, registry, _, placement = make_placement(clock=clock)
 
-    def slow_tenure(lease_ms):
+    def slow_lease(lease_ms):
         clock.advance(5000)
-        return Tenure(True, 2)
+        return PlacementLease(True, 2)
 
-    registry.keep_tenure = slow_tenure
+    registry.renew_placement_lease = slow_lease
     placement.renew()
 
     assert not placement.holder
@@ -89,7 +89,7 @@
     placement.renew()
     assert placement.acting
     clock.advance(10_000)
-    tell(peers, "g0", TenureState.HELD, 0)
+    tell(peers, "g0", LeaseState.HELD, 0)
 
     placement.plan_once()
 
@@ -99,11 +99,11 @@
 def test_orders_are_given_only_by_the_holder():
     context, registry, _, placement = make_placement()
     with_engines(context, make_engine("e1", 0, 0))
-    registry.tenure = Tenure(False, 2)
+    registry.lease = PlacementLease(False, 2)
     placement.renew()
 
     assert not placement.acting
-    registry.tenure = Tenure(True, 2)
+    registry.lease = PlacementLease(True, 2)
     placement.renew()
     assert placement.acting
 
@@ -139,15 +139,15 @@
     # Guards against layers that nobody places while every lease has run out.
     clock = ManualClock(100_000)
     _, registry, peers, placement = make_placement("g2", clock)
-    registry.tenure = Unavailable("busy")
+    registry.lease = Unavailable("busy")
     placement.renew()
-    tell(peers, "g3", TenureState.NONE)
+    tell(peers, "g3", LeaseState.NONE)
     assert not placement.acting
     clock.advance(3000)
     assert placement.acting
-    tell(peers, "g1", TenureState.NONE)
+    tell(peers, "g1", LeaseState.NONE)
     assert not placement.acting
-    tell(peers, "g1", TenureState.LEAVING)
+    tell(peers, "g1", LeaseState.LEAVING)
     assert placement.acting
 
 
@@ -155,7 +155,7 @@
     clock = ManualClock(100_000)
     _, _, peers, placement = make_placement("g1", clock)
     clock.advance(3000)
-    tell(peers, "g5", TenureState.NONE, holder_age_ms=400)
+    tell(peers, "g5", LeaseState.NONE, holder_age_ms=400)
 
     assert not placement.acting
 
@@ -163,9 +163,9 @@
 def test_leaving_holder_is_followed_at_once():
     clock = ManualClock(100_000)
     _, _, peers, placement = make_placement("g1", clock)
-    tell(peers, "g0", TenureState.HELD, 0)
+    tell(peers, "g0", LeaseState.HELD, 0)
     assert not placement.acting
-    tell(peers, "g0", TenureState.LEAVING, 100)
+    tell(peers, "g0", LeaseState.LEAVING, 100)
 
     assert placement.acting
 
@@ -174,10 +174,10 @@
     # Guards against old word of a holder, for which deputies wait.
     clock = ManualClock(100_000)
     _, _, peers, placement = make_placement("g1", clock)
-    tell(peers, "g0", TenureState.HELD, 0)
-    tell(peers, "g0", TenureState.LEAVING, 100)
+    tell(peers, "g0", LeaseState.HELD, 0)
+    tell(peers, "g0", LeaseState.LEAVING, 100)
     clock.advance(200)
-    tell(peers, "g5", TenureState.NONE, holder_age_ms=500)
+    tell(peers, "g5", LeaseState.NONE, holder_age_ms=500)
 
     assert placement.acting
 
@@ -185,10 +185,10 @@
 def test_next_holder_is_believed():
     clock = ManualClock(100_000)
     _, _, peers, placement = make_placement("g1", clock)
-    tell(peers, "g0", TenureState.HELD, 0)
-    tell(peers, "g0", TenureState.LEAVING, 100)
+    tell(peers, "g0", LeaseState.HELD, 0)
+    tell(peers, "g0", LeaseState.LEAVING, 100)
     clock.advance(900)
-    tell(peers, "g5", TenureState.HELD, 0)
+    tell(peers, "g5", LeaseState.HELD, 0)
 
     assert not placement.acting
 
@@ -201,7 +201,7 @@
     assert placement.acting
 
     young = make_placement("g9", clock)[2]
-    tell(peers, "g9", TenureState.NONE, young._message()["holder_age_ms"])
+    tell(peers, "g9", LeaseState.NONE, young._message()["holder_age_ms"])
 
     assert placement.acting
 
@@ -278,27 +278,27 @@
     # Guards against seconds without a holder while the store refuses everybody.
     clock = ManualClock(100_000)
     _, registry, peers, placement = make_placement("g5", clock)
-    tell(peers, "g1", TenureState.NONE)
+    tell(peers, "g1", LeaseState.NONE)
     placement.renew()
-    registry.tenure = Unavailable("busy")
+    registry.lease = Unavailable("busy")
     for _ in range(10):
         clock.advance(800)
         placement.renew()
         assert placement.acting
-        assert peers.tenure is TenureState.HELD
+        assert peers.lease_state is LeaseState.HELD
 
 
 def test_holder_that_stays_gives_way_to_the_next_one():
     # Guards against a holder that stays on beside the next one.
     clock = ManualClock(100_000)
     _, registry, peers, placement = make_placement("g5", clock)
-    tell(peers, "g1", TenureState.NONE)
+    tell(peers, "g1", LeaseState.NONE)
     placement.renew()
-    registry.tenure = Unavailable("silent")
+    registry.lease = Unavailable("silent")
     clock.advance(800)
     placement.renew()
     clock.advance(2000)
-    tell(peers, "g1", TenureState.HELD, 0)
+    tell(peers, "g1", LeaseState.HELD, 0)
 
     assert not placement.acting
 
@@ -311,7 +311,7 @@
     clock.advance(10_000)
 
     assert not placement.acting
-    assert registry.tenure == Tenure(False)
+    assert registry.lease == PlacementLease(False)
 
 
 def with_a_hole_and_two_holders(context):
--- a/caroblug/gateway/tests/test_placement_rounds.py
+++ b/caroblug/gateway/tests/test_placement_rounds.py
@@ -8,7 +8,7 @@
 
 from caroblug.core.placement import LayerRange
 from caroblug.core.placement.tests.fleets import MODEL
-from caroblug.gateway import EngineReport, OrderOutcome, Tenure
+from caroblug.gateway import EngineReport, OrderOutcome, PlacementLease
 from caroblug.gateway.tests.fakes import FakeDialect
 from caroblug.gateway.tests.test_fleet import list_of, make_engine
 from caroblug.gateway.tests.test_placement import make_placement
@@ -147,14 +147,14 @@
     for context, registry, _, _ in gateways:
         context.dialect = fleet
         context.fleet.take_listing(fleet.listing(1), clock.now_ms())
-        registry.tenure = Tenure(False, 2)
+        registry.lease = PlacementLease(False, 2)
     clock.advance(2000)
     holder = 0
     for turn in range(40):
         if rng.random() < 0.25:
             holder = 1 - holder
         for index, (_, registry, _, placement) in enumerate(gateways):
-            registry.tenure = Tenure(index == holder, 2)
+            registry.lease = PlacementLease(index == holder, 2)
             placement.renew()
         (context, _, peers, placement) = gateways[holder]
         settle(placement)
--- a/caroblug/gateway/tests/test_repeats.py
+++ b/caroblug/gateway/tests/test_repeats.py
@@ -6,7 +6,7 @@
 
 from caroblug.core.limits import RepeatWindow
 from caroblug.gateway._interfaces import Member, Unavailable
-from caroblug.gateway._peers import TenureState
+from caroblug.gateway._peers import LeaseState
 from caroblug.gateway._repeats import LEND_PATH, Repeats
 from caroblug.gateway.tests.test_placement import make_placement, tell
 from caroblug.utils import ManualClock
@@ -55,7 +55,7 @@
                 tell(
                     peers,
                     other,
-                    TenureState.NONE,
+                    LeaseState.NONE,
                     repeats={"pool": int(left)},
                 )
 
