--- a/caroblug/gateway/_holder_watch.py
+++ b/caroblug/gateway/_lease_holder_tracker.py
@@ -2,11 +2,11 @@
 
 import attrs
 
-HOLDERLESS_MS = 2500
+HOLDER_TIMEOUT_MS = 2500
 """Time without word of a holder of the lease after which a deputy places
 layers; word of one passes through fifty gateways in two or three exchanges."""
 
-UNKNOWN_MS = 1_000_000
+UNKNOWN_AGE_MS = 1_000_000
 """Age that is told where no holder was ever heard of."""
 
 _ON_ITS_WAY_MS = 300
@@ -15,7 +15,7 @@
 
 
 @attrs.define
-class HolderWatch:
+class LeaseHolderTracker:
     """What a gateway has heard of holders, its own lease aside.
 
     Attributes:
@@ -51,7 +51,7 @@
         instead would keep every other one waiting for a holder again.
         """
         if self._seen_ms is None:
-            return UNKNOWN_MS
+            return UNKNOWN_AGE_MS
         return now_ms - self._seen_ms
 
     def is_missing(self, now_ms: int) -> bool:
@@ -59,4 +59,4 @@
         if self._left_ms is not None:
             return True
         since_ms = max(self.began_ms, self._seen_ms or self.began_ms)
-        return now_ms - since_ms >= HOLDERLESS_MS
+        return now_ms - since_ms >= HOLDER_TIMEOUT_MS
--- a/caroblug/gateway/_peers.py
+++ b/caroblug/gateway/_peers.py
@@ -13,9 +13,12 @@
 from caroblug.core.placement import LayerRange
 from caroblug.gateway._context import Context
 from caroblug.gateway._crashes import Crashes
-from caroblug.gateway._holder_watch import UNKNOWN_MS, HolderWatch
 from caroblug.gateway._http_client import Address
 from caroblug.gateway._interfaces import Member, Registry, Unavailable
+from caroblug.gateway._lease_holder_tracker import (
+    UNKNOWN_AGE_MS,
+    LeaseHolderTracker,
+)
 from caroblug.gateway._packing import Packer, unpack
 from caroblug.gateway._peer_calls import UNREADABLE, PeerCalls
 from caroblug.gateway._readers import Readers
@@ -91,7 +94,7 @@
         self._lease_states: dict[str, LeaseState] = {}
         self._near: set[str] = set()
         self._far: set[str] = set()
-        self._holders = HolderWatch(context.clock.now_ms())
+        self._holders = LeaseHolderTracker(context.clock.now_ms())
         self._versions: dict[str, int] = {}
         self._readers = Readers(context.clock, context.settings.instance)
         self._repeats_left: dict[str, dict[str, int]] = {}
@@ -100,7 +103,7 @@
         self._configurations = Packer()
         self._lists = Packer()
         self._calls = PeerCalls(context)
-        self._calls.serve(TELL_PATH, self._take)
+        self._calls.serve(TELL_PATH, self._handle_message)
         self.lease_state = LeaseState.NONE
 
     @property
@@ -121,7 +124,7 @@
             reads += 1
             if not isinstance(members, Unavailable):
                 for member in members:
-                    self._on_member(member)
+                    self._add_member(member)
             self._forget_old()
             young = reads <= _FIRST_READS and not self._enough()
             pause_ms = _FIRST_MEMBERS_MS if young else _MEMBERS_MS
@@ -187,7 +190,7 @@
             and name not in wanted
         ]
         rng = self._context.rng
-        reads = bool(self._lease_states) and self.is_first_at_home()
+        reads = bool(self._lease_states) and self.is_first_local_reader()
         most = _READER_PARTNERS if reads else _PARTNERS
         chosen = rng.sample(wanted, min(len(wanted), most))
         return chosen + self._sample(names, most - len(chosen))
@@ -215,7 +218,7 @@
 
     def _tell(self, name: str) -> None:
         try:
-            answer = self.call(name, TELL_PATH, self._message())
+            answer = self.call(name, TELL_PATH, self._build_message())
         finally:
             self._busy.discard(name)
         if isinstance(answer, Unavailable):
@@ -225,7 +228,7 @@
         except UNREADABLE as error:
             self._calls.note_unreadable(TELL_PATH, error)
 
-    def _message(self) -> dict:
+    def _build_message(self) -> dict:
         context = self._context
         now_ms = context.clock.now_ms()
         settings = context.settings
@@ -255,13 +258,13 @@
             "holder_age_ms": self._holder_age_ms(now_ms),
         }
 
-    def _take(self, message: dict) -> dict:
+    def _handle_message(self, message: dict) -> dict:
         """Takes another gateway's message; returns the answer."""
         name = message["name"]
         host, port = message["address"]
-        self._on_member(Member(name, (str(host), int(port))))
-        self._take_news(name, message)
-        answer = self._message()
+        self._add_member(Member(name, (str(host), int(port))))
+        self._apply_peer_state(name, message)
+        answer = self._build_message()
         if message["version"] < self._version():
             raw = self._context.raw_configuration
             answer["packed_configuration"] = self._configurations.pack(raw)
@@ -302,7 +305,7 @@
 
     def _take_answer(self, answer: dict, name: str) -> None:
         context = self._context
-        self._take_news(name, answer)
+        self._apply_peer_state(name, answer)
         packed = answer.get("packed_configuration")
         if packed and int(answer["version"]) > self._version():
             raw = unpack(packed)
@@ -312,7 +315,7 @@
             ) and context.take_configuration(configuration, raw, name):
                 self.on_new_version(
                     context.clock.now_ms()
-                    - int(answer.get("version_age_ms", UNKNOWN_MS))
+                    - int(answer.get("version_age_ms", UNKNOWN_AGE_MS))
                 )
         packed_list = answer.get("packed_list")
         if packed_list:
@@ -326,13 +329,13 @@
 
     # What was told.
 
-    def _on_member(self, member: Member) -> None:
+    def _add_member(self, member: Member) -> None:
         if member.name == self._context.settings.instance:
             return
         self._members[member.name] = member.address
         self._seen_ms[member.name] = self._context.clock.now_ms()
 
-    def _take_news(self, name: str, message: dict) -> None:
+    def _apply_peer_state(self, name: str, message: dict) -> None:
         home = message["data_centre"] == self._context.settings.data_centre
         (self._near if home else self._far).add(name)
         self._on_loads(name, message["loads"])
@@ -347,7 +350,7 @@
         self._readers.hear(name, int(message.get("rank", 0)))
         self._versions[name] = int(message["version"])
         if self._versions[name] == self._version():
-            age_ms = int(message.get("version_age_ms", UNKNOWN_MS))
+            age_ms = int(message.get("version_age_ms", UNKNOWN_AGE_MS))
             self._readers.confirm_version(self._context.clock.now_ms() - age_ms)
         self._repeats_left[name] = {
             str(service): int(left)
@@ -358,7 +361,7 @@
         before = self._lease_states.get(name)
         self._lease_states[name] = LeaseState(message["tenure"])
         holder_age_ms = int(message["holder_age_ms"])
-        if holder_age_ms < UNKNOWN_MS:
+        if holder_age_ms < UNKNOWN_AGE_MS:
             self._holders.on_heard(now_ms - holder_age_ms)
         if (before, self._lease_states[name]) == (
             LeaseState.HELD,
@@ -439,7 +442,7 @@
         """
         self._context.ask_about.update(str(name) for name in names)
 
-    def is_first_at_home(self) -> bool:
+    def is_first_local_reader(self) -> bool:
         """Returns whether this is the first reader of its data centre."""
         return self._readers.is_first(self._neighbours())
 
@@ -452,7 +455,7 @@
         """Returns other gateways of the data centre that are heard."""
         return [name for name in self._staying() if name not in self._far]
 
-    def is_deputy(self) -> bool:
+    def is_acting_standby(self) -> bool:
         """Returns whether this gateway places layers for want of a holder.
 
         That is the first by name of those that are heard and stay, once no
@@ -465,7 +468,7 @@
         me = self._context.settings.instance
         return me == min([me, *self._staying()])
 
-    def hear_holder(self) -> bool:
+    def another_holds_lease(self) -> bool:
         """Returns whether another gateway says that it holds the lease."""
         return LeaseState.HELD in self._lease_states.values()
 
@@ -483,7 +486,7 @@
             return 0
         return self._holders.age_ms(now_ms)
 
-    def describe(self) -> dict[str, str]:
+    def describe_lease_states(self) -> dict[str, str]:
         """Returns how the gateways that are heard stand to the lease."""
         return {name: t.value for name, t in self._lease_states.items()}
 
--- a/caroblug/gateway/_placement.py
+++ b/caroblug/gateway/_placement.py
@@ -107,10 +107,12 @@
         """
         if self._stopped:
             return False
-        return self.holder or self._stays_on() or self._peers.is_deputy()
+        return (
+            self.holder or self._stays_on() or self._peers.is_acting_standby()
+        )
 
     def _stays_on(self) -> bool:
-        return self._stays and not self._peers.hear_holder()
+        return self._stays and not self._peers.another_holds_lease()
 
     def run_lease(self) -> None:
         """Renews the lease until stopped."""
@@ -158,7 +160,7 @@
                     "placement.acting",
                     acting=acted,
                     lease=self.holder,
-                    gateways=self._peers.describe(),
+                    gateways=self._peers.describe_lease_states(),
                 )
             self.plan_once()
             gevent.sleep(_PLAN_MS / 1000)
--- a/caroblug/gateway/_readers.py
+++ b/caroblug/gateway/_readers.py
@@ -9,7 +9,7 @@
 
 from collections.abc import Iterable
 
-from caroblug.gateway._holder_watch import UNKNOWN_MS
+from caroblug.gateway._lease_holder_tracker import UNKNOWN_AGE_MS
 from caroblug.utils import Clock
 
 _READERS = 2
@@ -55,8 +55,8 @@
     def version_age_ms(self) -> int:
         """Time since the configuration was known to be the newest."""
         if self._confirmed_ms is None:
-            return UNKNOWN_MS
-        return min(UNKNOWN_MS, self._clock.now_ms() - self._confirmed_ms)
+            return UNKNOWN_AGE_MS
+        return min(UNKNOWN_AGE_MS, self._clock.now_ms() - self._confirmed_ms)
 
     def note_read(self, took_ms: int | None) -> None:
         """Ranks this gateway by a read of the list.
--- a/caroblug/gateway/_watches.py
+++ b/caroblug/gateway/_watches.py
@@ -163,7 +163,7 @@
         return None if isinstance(read, gevent.GreenletExit) else read
 
     def _wait_ms(self) -> int:
-        if self._peers.is_first_at_home():
+        if self._peers.is_first_local_reader():
             return _FIRST_WAIT_MS
         context = self._context
         gateways = max(1, context.fleet.loads.gateways)
@@ -217,7 +217,7 @@
         next one may be in a long wait on a connection that went silent.
         """
         since_ms = self._waiting_since_ms
-        if since_ms is None or not self._peers.is_first_at_home():
+        if since_ms is None or not self._peers.is_first_local_reader():
             return
         if self._context.clock.now_ms() - since_ms > _FIRST_OVERDUE_MS:
             self._call.kill(block=False)
@@ -237,7 +237,7 @@
 
     def _due_age_ms(self) -> float:
         base_ms = (
-            _LIST_MS if self._peers.is_first_at_home() else _OTHERS_LIST_MS
+            _LIST_MS if self._peers.is_first_local_reader() else _OTHERS_LIST_MS
         )
         return base_ms + self._context.rng.random() * _LIST_SPREAD_MS
 
--- a/caroblug/gateway/tests/test_configuration_spread.py
+++ b/caroblug/gateway/tests/test_configuration_spread.py
@@ -22,7 +22,7 @@
     for i in range(others):
         other = f"g{i}"
         if other != name:
-            peers._on_member(Member(other, ("10.0.0.1", 1)))
+            peers._add_member(Member(other, ("10.0.0.1", 1)))
             tell(
                 peers,
                 other,
@@ -85,7 +85,7 @@
     other, other_peers = make_peers("g2")
     context.configuration = peers._registry.decode_configuration("7")
 
-    answer = peers._take(other_peers._message())
+    answer = peers._handle_message(other_peers._build_message())
     other_peers._take_answer(answer, "g1")
 
     assert other.configuration.version == 7
@@ -96,17 +96,17 @@
 def test_configuration_is_not_fetched_from_everybody_who_tells_of_it():
     # Guards against a full link: the same configuration, several times.
     context, peers = make_peers()
-    message = make_peers("g1")[1]._message()
+    message = make_peers("g1")[1]._build_message()
 
     for name in ("g1", "g2", "g3"):
-        peers._take({**message, "name": name, "version": 9})
+        peers._handle_message({**message, "name": name, "version": 9})
 
     assert len(peers._busy) == 1
 
 
 def test_older_configuration_is_not_unpacked():
     context, peers = make_peers()
-    answer = make_peers("g1")[1]._message()
+    answer = make_peers("g1")[1]._build_message()
 
     peers._take_answer({**answer, "packed_configuration": "spoilt"}, "g1")
 
--- a/caroblug/gateway/tests/test_peers.py
+++ b/caroblug/gateway/tests/test_peers.py
@@ -16,7 +16,7 @@
     places = {f"near{i}": "a" for i in range(near)}
     places.update({f"far{i}": "b" for i in range(far)})
     for name, data_centre in places.items():
-        peers._on_member(Member(name, ("10.0.0.1", 1)))
+        peers._add_member(Member(name, ("10.0.0.1", 1)))
         if heard:
             tell(peers, name, LeaseState.NONE, data_centre=data_centre)
     peers._heard_ms.clear()
@@ -79,11 +79,13 @@
 def test_newer_configuration_is_fetched_from_who_told_of_it():
     # Guards against an old configuration where a gateway is only ever told.
     context, _, peers, _ = make_placement("g0")
-    told = {**peers._message(), "name": "g1", "address": ["10.0.0.1", 1]}
-    peers._take(told)
+    told = {**peers._build_message(), "name": "g1", "address": ["10.0.0.1", 1]}
+    peers._handle_message(told)
     assert peers._partners() == []
 
-    peers._take({**told, "version": context.configuration.version + 1})
+    peers._handle_message(
+        {**told, "version": context.configuration.version + 1}
+    )
 
     assert peers._partners() == ["g1"]
 
--- a/caroblug/gateway/tests/test_placement.py
+++ b/caroblug/gateway/tests/test_placement.py
@@ -60,7 +60,7 @@
         "tenure": lease_state.value,
         "holder_age_ms": holder_age_ms,
     }
-    peers._take_news(name, message)
+    peers._apply_peer_state(name, message)
 
 
 def layers_of(layers):
@@ -201,7 +201,7 @@
     assert placement.acting
 
     young = make_placement("g9", clock)[2]
-    tell(peers, "g9", LeaseState.NONE, young._message()["holder_age_ms"])
+    tell(peers, "g9", LeaseState.NONE, young._build_message()["holder_age_ms"])
 
     assert placement.acting
 
@@ -361,7 +361,7 @@
     context, _, next_peers, _ = make_placement("g2")
     with_a_hole_and_two_holders(context)
 
-    next_peers._take(peers._message())
+    next_peers._handle_message(peers._build_message())
 
     service = context.configuration.services["pool"]
     engines = context.fleet.engines(service, context.clock.now_ms())
@@ -378,7 +378,7 @@
     context, _, next_peers, _ = make_placement("g2")
     with_engines(context, make_engine("p", 48, 64))
 
-    next_peers._take(peers._message())
+    next_peers._handle_message(peers._build_message())
 
     service = context.configuration.services["pool"]
     (engine,) = context.fleet.engines(service, context.clock.now_ms())
--- a/caroblug/gateway/tests/test_placement_rounds.py
+++ b/caroblug/gateway/tests/test_placement_rounds.py
@@ -158,7 +158,7 @@
             placement.renew()
         (context, _, peers, placement) = gateways[holder]
         settle(placement)
-        gateways[1 - holder][2]._take(peers._message())
+        gateways[1 - holder][2]._handle_message(peers._build_message())
         clock.advance(TICK_MS)
         fleet.advance()
         for context, _, _, _ in gateways:
--- a/caroblug/gateway/tests/test_repeats.py
+++ b/caroblug/gateway/tests/test_repeats.py
@@ -51,7 +51,7 @@
                 if other == name:
                     continue
                 left = window.left("pool", GATEWAYS, self.clock.now_ms())
-                peers._on_member(Member(other, ("10.0.0.1", 1)))
+                peers._add_member(Member(other, ("10.0.0.1", 1)))
                 tell(
                     peers,
                     other,
