--- a/caroblug/gateway/_calls.py
+++ b/caroblug/gateway/_calls.py
@@ -120,7 +120,7 @@
             exchange.close()
             context.fleet.leave(backend.name)
         if tried.next is not Next.ANSWERED:
-            context.tallies.count("tries_failed", reason=tried.reason)
+            context.telemetry.count("tries_failed", reason=tried.reason)
             context.log.write(
                 "call.try_failed",
                 request=pending.caller.id,
--- a/caroblug/gateway/_context.py
+++ b/caroblug/gateway/_context.py
@@ -10,7 +10,7 @@
 from caroblug.gateway._fleet import Fleet
 from caroblug.gateway._interfaces import Dialect
 from caroblug.gateway._settings import GatewaySettings
-from caroblug.gateway._tallies import Tallies
+from caroblug.gateway._telemetry import Telemetry
 from caroblug.utils import Clock
 
 
@@ -24,14 +24,14 @@
         rng: Source of randomness.
         dialect: How requests look on the wire.
         fleet: Backend servers.
-        repeats: What may be sent a second time.
+        retry_budget: What may be sent a second time.
         retry_after: When refused callers are asked to come back.
         log: Log of decisions.
-        tallies: Metrics.
+        telemetry: Metrics.
         configuration: The newest configuration; None before the first.
         configuration_ms: When it was taken.
         raw_configuration: The same as the operator wrote it.
-        ask_about: Engines that are to be asked about themselves.
+        engines_to_probe: Engines that are to be asked about themselves.
     """
 
     settings: GatewaySettings
@@ -39,14 +39,14 @@
     rng: random.Random
     dialect: Dialect
     fleet: Fleet
-    repeats: RepeatWindow
+    retry_budget: RepeatWindow
     retry_after: RetryAfter
     log: DecisionLog
-    tallies: Tallies
+    telemetry: Telemetry
     configuration: Configuration | None = None
     configuration_ms: int = 0
     raw_configuration: str = ""
-    ask_about: set[str] = attrs.field(factory=set)
+    engines_to_probe: set[str] = attrs.field(factory=set)
 
     def limits(self) -> RequestLimits:
         """Returns what callers may send."""
@@ -54,7 +54,7 @@
             return RequestLimits()
         return self.configuration.limits
 
-    def take_configuration(
+    def apply_configuration(
         self, configuration: Configuration, raw: str, source: str
     ) -> bool:
         """Takes a configuration, unless a newer one is known.
@@ -76,7 +76,7 @@
         self.configuration = configuration
         self.raw_configuration = raw
         self.configuration_ms = self.clock.now_ms()
-        self.tallies.gauge("configuration_version", configuration.version)
+        self.telemetry.gauge("configuration_version", configuration.version)
         self.log.write(
             "configuration.taken",
             version=configuration.version,
--- a/caroblug/gateway/_gateway.py
+++ b/caroblug/gateway/_gateway.py
@@ -33,7 +33,7 @@
 from caroblug.gateway._settings import GatewaySettings, SettingsProblem
 from caroblug.gateway._slowness import Slowness
 from caroblug.gateway._streams import Streams
-from caroblug.gateway._tallies import Tallies
+from caroblug.gateway._telemetry import Telemetry
 from caroblug.gateway._watches import Watches
 from caroblug.utils import BoottimeClock
 
@@ -184,7 +184,7 @@
             return
         context.log.write("settings.taken", settings=str(settings))
         context.settings = settings
-        context.repeats.set_bound(
+        context.retry_budget.set_bound(
             settings.retry_ratio, settings.retry_extra, settings.retry_window_ms
         )
 
@@ -282,7 +282,7 @@
         if status == 503:
             after_ms = context.retry_after.ms(UNREADY_MS)
         known = context.configuration
-        context.tallies.count("denied", status=str(status), reason=reason)
+        context.telemetry.count("denied", status=str(status), reason=reason)
         context.log.write(
             "request.denied",
             request=caller.id,
@@ -303,7 +303,7 @@
     def _answer_metrics(self, request: RawRequest, reply: Reply) -> None:
         del request
         kind = ("Content-Type", "text/plain; version=0.0.4")
-        reply.send(200, [kind], self._context.tallies.expose())
+        reply.send(200, [kind], self._context.telemetry.expose())
 
 
 def make_gateway(
@@ -328,13 +328,13 @@
         rng=rng,
         dialect=dialect,
         fleet=Fleet(settings.data_centre, rng),
-        repeats=RepeatWindow(
+        retry_budget=RepeatWindow(
             settings.retry_ratio,
             settings.retry_extra,
             settings.retry_window_ms,
         ),
         retry_after=RetryAfter(rng),
         log=DecisionLog(settings.instance, clock),
-        tallies=Tallies(),
+        telemetry=Telemetry(),
     )
     return Gateway(context, registry, reload)
--- a/caroblug/gateway/_liveness.py
+++ b/caroblug/gateway/_liveness.py
@@ -164,14 +164,14 @@
         asked = silent + others
         tries = [gevent.spawn(self._probe, engine) for engine in asked]
         gevent.joinall(tries)
-        self._context.tallies.count("engine_probes")
+        self._context.telemetry.count("engine_probes")
         failures = {
             engine.name: job.value
             for engine, job in zip(asked, tries, strict=True)
             if job.value is not None
         }
         if len(failures) * 2 > len(asked):
-            self._context.tallies.count("engine_probes_not_believed")
+            self._context.telemetry.count("engine_probes_not_believed")
             return
         for engine in silent:
             failure = failures.get(engine.name)
--- a/caroblug/gateway/_peer_calls.py
+++ b/caroblug/gateway/_peer_calls.py
@@ -58,7 +58,7 @@
         answer = fetch(address, request, _CALL_S)
         if isinstance(answer, Broken):
             reason = answer.failure.value
-            self._context.tallies.count("peer_calls_failed", reason=reason)
+            self._context.telemetry.count("peer_calls_failed", reason=reason)
             return Unavailable(reason)
         if answer.head.status != 200:
             return Unavailable(f"status {answer.head.status}")
--- a/caroblug/gateway/_peers.py
+++ b/caroblug/gateway/_peers.py
@@ -295,7 +295,7 @@
         known = context.configuration
         gateways = context.fleet.loads.gateways
         return {
-            name: int(context.repeats.left(name, gateways, now_ms))
+            name: int(context.retry_budget.left(name, gateways, now_ms))
             for name in (known.services if known is not None else ())
         }
 
@@ -312,7 +312,7 @@
             configuration = self._registry.decode_configuration(raw)
             if not isinstance(
                 configuration, Unavailable
-            ) and context.take_configuration(configuration, raw, name):
+            ) and context.apply_configuration(configuration, raw, name):
                 self.on_new_version(
                     context.clock.now_ms()
                     - int(answer.get("version_age_ms", UNKNOWN_AGE_MS))
@@ -440,7 +440,7 @@
 
         Its word alone isn't believed: it may itself be cut off.
         """
-        self._context.ask_about.update(str(name) for name in names)
+        self._context.engines_to_probe.update(str(name) for name in names)
 
     def is_first_local_reader(self) -> bool:
         """Returns whether this is the first reader of its data centre."""
--- a/caroblug/gateway/_pending.py
+++ b/caroblug/gateway/_pending.py
@@ -62,7 +62,7 @@
     def on_send(self, context: Context) -> None:
         """Counts a send; the first one earns a part of a later repeat."""
         if not self.sends:
-            context.repeats.on_first(
+            context.retry_budget.on_first(
                 self.admitted.service.name, context.clock.now_ms()
             )
         self.sends += 1
@@ -133,10 +133,10 @@
         took_ms = now_ms - pending.request.began_ms
         kind = pending.admitted.route.kind.value
         good = 200 <= status < 500 and not cut
-        context.tallies.count(
+        context.telemetry.count(
             "requests", kind=kind, status=str(status), reason=reason
         )
-        context.tallies.record_ms("request", took_ms, kind=kind)
+        context.telemetry.record_ms("request", took_ms, kind=kind)
         context.log.write(
             "request" if good else "request.failed",
             request=pending.caller.id,
--- a/caroblug/gateway/_rechecks.py
+++ b/caroblug/gateway/_rechecks.py
@@ -38,8 +38,8 @@
             now_ms = self._context.clock.now_ms()
             for backend in self._context.fleet.failing(now_ms):
                 self.ask(backend)
-            names = set(self._context.ask_about)
-            self._context.ask_about.clear()
+            names = set(self._context.engines_to_probe)
+            self._context.engines_to_probe.clear()
             self._look_into(names, now_ms)
 
     def _look_into(self, names: set[str], now_ms: int) -> None:
--- a/caroblug/gateway/_repeats.py
+++ b/caroblug/gateway/_repeats.py
@@ -45,25 +45,25 @@
         """
         while not self._take(service):
             if not self._wait_for_loan(service):
-                self._context.tallies.count("repeats_denied", service=service)
+                self._context.telemetry.count("repeats_denied", service=service)
                 return False
         return True
 
     def answer_loan(self, message: dict) -> dict:
         """Answers another gateway that asks for repeats."""
         context = self._context
-        lent = context.repeats.lend(
+        lent = context.retry_budget.lend(
             str(message["service"]),
             int(message["wanted"]),
             context.fleet.loads.gateways,
             context.clock.now_ms(),
         )
-        context.tallies.count("repeats_lent", lent)
+        context.telemetry.count("repeats_lent", lent)
         return {"lent": lent}
 
     def _take(self, service: str) -> bool:
         context = self._context
-        return context.repeats.take(
+        return context.retry_budget.take(
             service, context.fleet.loads.gateways, context.clock.now_ms()
         )
 
@@ -94,8 +94,8 @@
             lent = int(answer["lent"])
             self._peers.on_lent(name, service, lent)
             if lent > 0:
-                context.repeats.borrow(service, lent, asked_ms)
-                context.tallies.count("repeats_borrowed", lent)
+                context.retry_budget.borrow(service, lent, asked_ms)
+                context.telemetry.count("repeats_borrowed", lent)
                 return True
         now_ms = context.clock.now_ms()
         self._ask_again_ms[service] = now_ms + _ASK_AGAIN_MS
--- a/caroblug/gateway/_running.py
+++ b/caroblug/gateway/_running.py
@@ -105,7 +105,7 @@
             context.fleet.on_ended(engine.name)
         for_ms = context.fleet.avoid(engine.name, now_ms)
         hit = [s for s in self._streams if engine.name in s.path.names]
-        context.tallies.count("engines_lost", ended=str(ended).lower())
+        context.telemetry.count("engines_lost", ended=str(ended).lower())
         context.log.write(
             "backend_server.avoided",
             backend_server=engine.name,
--- a/caroblug/gateway/_slowness.py
+++ b/caroblug/gateway/_slowness.py
@@ -85,7 +85,7 @@
     def _ask(self, name: str, address: tuple[str, int]) -> None:
         context = self._context
         report = context.dialect.read_report(address)
-        context.tallies.count("pace_questions")
+        context.telemetry.count("pace_questions")
         if isinstance(report, Unavailable):
             # That it doesn't answer is for others to find out; how slow it
             # is stays as it was believed to be.
--- a/caroblug/gateway/_stream_repair.py
+++ b/caroblug/gateway/_stream_repair.py
@@ -71,7 +71,7 @@
         outcome = context.dialect.change_path(
             path.first.address, state.pending.caller.id, path
         )
-        context.tallies.count("path_changes", outcome=outcome.value)
+        context.telemetry.count("path_changes", outcome=outcome.value)
         context.log.write(
             "stream.path_changed",
             request=state.pending.caller.id,
--- a/caroblug/gateway/_streams.py
+++ b/caroblug/gateway/_streams.py
@@ -182,7 +182,7 @@
             return
         state = self._state
         state.times.note(result.reason, state.lost or state.path.first.name)
-        state.context.tallies.count("runs_failed", end=result.end.value)
+        state.context.telemetry.count("runs_failed", end=result.end.value)
         state.context.log.write(
             "stream.run_failed",
             request=state.pending.caller.id,
--- a/caroblug/gateway/_tallies.py
+++ b/caroblug/gateway/_telemetry.py
@@ -18,7 +18,7 @@
 Labels = tuple[tuple[str, str], ...]
 
 
-class Tallies:
+class Telemetry:
     """Numbers by name and labels."""
 
     def __init__(self) -> None:
--- a/caroblug/gateway/_watches.py
+++ b/caroblug/gateway/_watches.py
@@ -185,7 +185,7 @@
             return
         if isinstance(
             read, ConfigurationRead
-        ) and self._context.take_configuration(
+        ) and self._context.apply_configuration(
             read.configuration, read.raw, "store"
         ):
             self._peers.on_new_version(confirmed_ms)
@@ -261,14 +261,14 @@
         context.fleet.take_listing(listing, asked_ms)
         if was_lost:
             self._on_store_back()
-        context.tallies.gauge("backends", len(listing.backends))
+        context.telemetry.gauge("backends", len(listing.backends))
         return True
 
     def _note(self, what: str, read) -> None:
         """Writes a line when a dependency is lost or regained."""
-        self._context.tallies.count("store_calls", what=what)
+        self._context.telemetry.count("store_calls", what=what)
         if isinstance(read, Unavailable):
-            self._context.tallies.count("store_calls_failed", what=what)
+            self._context.telemetry.count("store_calls_failed", what=what)
             if what not in self._lost:
                 self._lost.add(what)
                 self._context.log.write(
--- a/caroblug/gateway/tests/fakes.py
+++ b/caroblug/gateway/tests/fakes.py
@@ -21,7 +21,7 @@
 from caroblug.gateway._context import Context
 from caroblug.gateway._decision_log import DecisionLog
 from caroblug.gateway._fleet import Fleet
-from caroblug.gateway._tallies import Tallies
+from caroblug.gateway._telemetry import Telemetry
 from caroblug.utils import ManualClock
 
 NOWHERE = ("127.0.0.1", 1)
@@ -119,10 +119,10 @@
         rng=rng,
         dialect=FakeDialect(),
         fleet=Fleet("a", rng),
-        repeats=RepeatWindow(0.2, 50, 10000),
+        retry_budget=RepeatWindow(0.2, 50, 10000),
         retry_after=RetryAfter(rng),
         log=DecisionLog(name, clock),
-        tallies=Tallies(),
+        telemetry=Telemetry(),
     )
     pool = Service("pool", "/health", 10, MODEL)
     context.configuration = Configuration(5, {}, {"pool": pool})
--- a/caroblug/gateway/tests/test_repeats.py
+++ b/caroblug/gateway/tests/test_repeats.py
@@ -31,10 +31,10 @@
 
     def _add(self, name: str) -> None:
         context, _, peers, _ = make_placement(name, self.clock)
-        context.repeats = RepeatWindow(0.0, EXTRA, WINDOW_MS)
+        context.retry_budget = RepeatWindow(0.0, EXTRA, WINDOW_MS)
         context.fleet.loads.gateways = GATEWAYS
         self._peers[name] = peers
-        self.windows[name] = context.repeats
+        self.windows[name] = context.retry_budget
         self.repeats[name] = Repeats(context, peers)
         peers.call = self.call
 
--- a/caroblug/gateway/tests/test_slowness.py
+++ b/caroblug/gateway/tests/test_slowness.py
@@ -52,7 +52,7 @@
             gevent.wait()
 
     def asked(self) -> bool:
-        return b"pace_questions" in self.context.tallies.expose()
+        return b"pace_questions" in self.context.telemetry.expose()
 
     def paths(self) -> set[str]:
         now_ms = self.clock.now_ms()
