--- a/caroblug/gateway/__init__.py
+++ b/caroblug/gateway/__init__.py
@@ -1,24 +1,24 @@
 """The gateway: an entry before engines that pass tokens on themselves."""
 
 from caroblug.gateway._caller_requests import RawRequest
-from caroblug.gateway._first_settings import read_first_settings
 from caroblug.gateway._gateway import Gateway, make_gateway
 from caroblug.gateway._http_client import Address, fetch, format_request
+from caroblug.gateway._initial_settings import read_initial_settings
 from caroblug.gateway._interfaces import (
-    AnswerFacts,
+    AnswerMetadata,
     BackendServer,
     CallerRequest,
     ConfigurationRead,
     Dialect,
     EngineReport,
+    ForwardMetadata,
     Listing,
     Member,
-    NothingNew,
+    NoChange,
     OrderOutcome,
     PlacementLease,
     Registry,
     RunState,
-    Sending,
     Unavailable,
     make_listing,
 )
@@ -32,25 +32,25 @@
 __all__ = [
     "Address",
     "Answer",
-    "AnswerFacts",
+    "AnswerMetadata",
     "BackendServer",
     "Broken",
     "CallerRequest",
     "ConfigurationRead",
     "Dialect",
     "EngineReport",
+    "ForwardMetadata",
     "Gateway",
     "GatewaySettings",
     "Head",
     "Listing",
     "Member",
-    "NothingNew",
+    "NoChange",
     "OrderOutcome",
     "PlacementLease",
     "RawRequest",
     "Registry",
     "RunState",
-    "Sending",
     "SettingsProblem",
     "Unavailable",
     "check_gateway_settings",
@@ -58,5 +58,5 @@
     "format_request",
     "make_gateway",
     "make_listing",
-    "read_first_settings",
+    "read_initial_settings",
 ]
--- a/caroblug/gateway/_calls.py
+++ b/caroblug/gateway/_calls.py
@@ -4,16 +4,16 @@
 
 import attrs
 
-from caroblug.gateway._connecting import CONNECT_S
+from caroblug.gateway._connect_attempts import CONNECT_TIMEOUT_S
 from caroblug.gateway._context import Context
 from caroblug.gateway._crashes import Crashes
 from caroblug.gateway._fleet import seems_gone
 from caroblug.gateway._http_client import Exchange
 from caroblug.gateway._interfaces import (
-    AnswerFacts,
+    AnswerMetadata,
     BackendServer,
+    ForwardMetadata,
     RunState,
-    Sending,
 )
 from caroblug.gateway._outcomes import Broken, Failure, Head, Quiet
 from caroblug.gateway._pending import Answers, Pending
@@ -54,7 +54,7 @@
     next: Next
     reason: str = ""
     head: Head | None = None
-    facts: AnswerFacts | None = None
+    facts: AnswerMetadata | None = None
     body: bytes = b""
 
 
@@ -136,7 +136,7 @@
         context = self._context
         clock = context.clock
         left_s = pending.left_ms(clock.now_ms()) / 1000
-        problem = exchange.connect(min(CONNECT_S, left_s))
+        problem = exchange.connect(min(CONNECT_TIMEOUT_S, left_s))
         if problem is None:
             pending.on_send(self._context)
             data = self._encode(pending, backend)
@@ -189,7 +189,7 @@
         return Tried(Next.FAILED, broken.failure.value)
 
     def _encode(self, pending: Pending, backend: BackendServer) -> bytes:
-        sending = Sending(
+        sending = ForwardMetadata(
             backend=backend.name,
             left_ms=pending.left_ms(self._context.clock.now_ms()),
             account=pending.account,
--- a/caroblug/gateway/_connecting.py
+++ b/caroblug/gateway/_connect_attempts.py
@@ -9,7 +9,7 @@
 """Bound on the first try: engines accept within some ms, and a second engine
 still brings the first event in time."""
 
-CONNECT_S = 0.25
+CONNECT_TIMEOUT_S = 0.25
 """Bound on the others, also for calls. A dark backend server never accepts, and
 the request then goes to another one with time to spare."""
 
@@ -17,27 +17,27 @@
 """Tries without a connection after which the request is refused."""
 
 
-class Connecting:
+class ConnectAttempts:
     """Tries of one request, until one of them gets a connection."""
 
     def __init__(self) -> None:
-        self._unreached: list[str] = []
+        self._unreachable: list[str] = []
 
     @property
-    def bound_s(self) -> float:
+    def timeout_s(self) -> float:
         """Bound on the next try, in seconds."""
-        return CONNECT_S if self._unreached else _FIRST_S
+        return CONNECT_TIMEOUT_S if self._unreachable else _FIRST_S
 
     @property
     def exhausted(self) -> bool:
         """Whether another try is of no use."""
-        return len(self._unreached) >= _MOST
+        return len(self._unreachable) >= _MOST
 
-    def on_unreached(self, name: str) -> None:
+    def on_connect_failed(self, name: str) -> None:
         """Notes an engine that took no connection."""
-        self._unreached.append(name)
+        self._unreachable.append(name)
 
     def on_connected(self) -> list[str]:
         """Notes a connection; returns the engines that count as gone."""
-        gone, self._unreached = self._unreached, []
+        gone, self._unreachable = self._unreachable, []
         return gone
--- a/caroblug/gateway/_gateway.py
+++ b/caroblug/gateway/_gateway.py
@@ -32,9 +32,9 @@
 from caroblug.gateway._running import RunningStreams
 from caroblug.gateway._settings import GatewaySettings, SettingsProblem
 from caroblug.gateway._slowness import Slowness
+from caroblug.gateway._store_watcher import StoreWatcher
 from caroblug.gateway._streams import Streams
 from caroblug.gateway._telemetry import Telemetry
-from caroblug.gateway._watches import Watches
 from caroblug.utils import BoottimeClock
 
 _DENIALS = {
@@ -85,7 +85,7 @@
         self._reload = reload
         self._crashes = Crashes(context.clock, context.fleet)
         self._peers = Peers(context, registry, self._crashes)
-        self._watches = Watches(context, registry, self._peers)
+        self._store_watcher = StoreWatcher(context, registry, self._peers)
         self._placement = Placement(context, registry, self._peers)
         self._rechecks = Rechecks(context)
         self._answers = Answers(context)
@@ -132,8 +132,8 @@
         self._ready.start()
         self._peer_calls.start()
         for loop in (
-            self._watches.run_configuration,
-            self._watches.run_list,
+            self._store_watcher.run_configuration,
+            self._store_watcher.run_list,
             self._placement.run_lease,
             self._placement.run_plan,
             self._peers.run_members,
--- a/caroblug/gateway/_first_settings.py
+++ b/caroblug/gateway/_initial_settings.py
@@ -10,7 +10,7 @@
 _PAUSE_S = 0.1
 
 
-def read_first_settings(
+def read_initial_settings(
     read: Callable[[], GatewaySettings | SettingsProblem],
     sleep: Callable[[float], None] = gevent.sleep,
 ) -> GatewaySettings | SettingsProblem:
--- a/caroblug/gateway/_interfaces.py
+++ b/caroblug/gateway/_interfaces.py
@@ -85,7 +85,7 @@
 
 
 @attrs.frozen
-class NothingNew:
+class NoChange:
     """No change came in the time given.
 
     Attributes:
@@ -143,7 +143,7 @@
     @abc.abstractmethod
     def wait_for_change(
         self, end: int, wait_ms: int
-    ) -> ConfigurationRead | NothingNew | Unavailable:
+    ) -> ConfigurationRead | NoChange | Unavailable:
         """Waits until the configuration changes past `end`."""
 
     @abc.abstractmethod
@@ -201,7 +201,7 @@
 
 
 @attrs.frozen
-class Sending:
+class ForwardMetadata:
     """What the gateway adds to a request when it sends it on.
 
     Attributes:
@@ -230,7 +230,7 @@
 
 
 @attrs.frozen
-class AnswerFacts:
+class AnswerMetadata:
     """What the head of a backend server's answer says.
 
     Attributes:
@@ -296,12 +296,15 @@
 
     @abc.abstractmethod
     def encode_request(
-        self, request: RawRequest, caller: CallerRequest, sending: Sending
+        self,
+        request: RawRequest,
+        caller: CallerRequest,
+        metadata: ForwardMetadata,
     ) -> bytes:
         """Returns the bytes to send to a backend server."""
 
     @abc.abstractmethod
-    def decode_answer(self, head: Head) -> AnswerFacts:
+    def decode_answer(self, head: Head) -> AnswerMetadata:
         """Reads the head of a backend server's answer."""
 
     @abc.abstractmethod
--- a/caroblug/gateway/_runs.py
+++ b/caroblug/gateway/_runs.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from caroblug.gateway._interfaces import AnswerFacts
+from caroblug.gateway._interfaces import AnswerMetadata
 from caroblug.gateway._outcomes import Head
 
 
@@ -35,5 +35,5 @@
     end: RunEnd
     reason: str = ""
     head: Head | None = None
-    facts: AnswerFacts | None = None
+    facts: AnswerMetadata | None = None
     body: bytes = b""
--- a/caroblug/gateway/_watches.py
+++ b/caroblug/gateway/_store_watcher.py
@@ -8,7 +8,7 @@
 from caroblug.gateway._context import Context
 from caroblug.gateway._interfaces import (
     ConfigurationRead,
-    NothingNew,
+    NoChange,
     Registry,
     Unavailable,
 )
@@ -74,7 +74,7 @@
 and other gateways, tell sooner that there is something to read."""
 
 
-class Watches:
+class StoreWatcher:
     """Keeps configuration and list of backend servers up to date.
 
     Args:
@@ -133,7 +133,7 @@
 
     def _read_next(
         self, end: int | None, failures: int
-    ) -> ConfigurationRead | NothingNew | Unavailable | None:
+    ) -> ConfigurationRead | NoChange | Unavailable | None:
         """Reads the newest configuration, or waits for one after `end`.
 
         Args:
--- a/caroblug/gateway/_stream_run.py
+++ b/caroblug/gateway/_stream_run.py
@@ -1,13 +1,13 @@
 """One run of a stream: sent to the first engine of a path, read to its end."""
 
 from caroblug.core.placement import Path
-from caroblug.gateway._connecting import Connecting
+from caroblug.gateway._connect_attempts import ConnectAttempts
 from caroblug.gateway._crashes import Crashes
 from caroblug.gateway._events import EventPace, Misordered
 from caroblug.gateway._interfaces import (
-    AnswerFacts,
+    AnswerMetadata,
+    ForwardMetadata,
     RunState,
-    Sending,
     Unavailable,
 )
 from caroblug.gateway._outcomes import Broken, End, Failure, Head, Quiet
@@ -51,13 +51,13 @@
         self._repair = repair
         self._crashes = crashes
         self._running = running
-        self._connecting = Connecting()
+        self._connect_attempts = ConnectAttempts()
         self._given_up = ""
 
     @property
     def unreachable(self) -> bool:
         """Whether too many engines in a row took no connection."""
-        return self._connecting.exhausted
+        return self._connect_attempts.exhausted
 
     def run(self, stream: RunningStream, path: Path) -> RunResult:
         """Runs the stream over a path; returns how that ended."""
@@ -94,11 +94,11 @@
         pending = state.pending
         first = state.path.first.name
         left_s = state.left_ms / 1000
-        bound_s = min(self._connecting.bound_s, left_s)
-        problem = state.exchange.connect(bound_s)
+        timeout_s = min(self._connect_attempts.timeout_s, left_s)
+        problem = state.exchange.connect(timeout_s)
         if problem is not None:
             return problem
-        for name in self._connecting.on_connected():
+        for name in self._connect_attempts.on_connected():
             state.avoid_engine(name, Failure.CONNECT.value)
         pending.on_send(self._context)
         pending.tried.add(first)
@@ -135,7 +135,7 @@
             return self._read_failure(head, facts)
         return self._read_events(head, facts)
 
-    def _read_events(self, head: Head, facts: AnswerFacts) -> RunResult:
+    def _read_events(self, head: Head, facts: AnswerMetadata) -> RunResult:
         state = self._state
         reply = state.pending.reply
         while True:
@@ -173,7 +173,7 @@
         state.pace.add(len(events), now_ms - state.last_event_ms)
         state.last_event_ms = now_ms
 
-    def _read_failure(self, head: Head, facts: AnswerFacts) -> RunResult:
+    def _read_failure(self, head: Head, facts: AnswerMetadata) -> RunResult:
         body = self._state.exchange.read_body(self._state.left_ms / 1000)
         if not isinstance(body, bytes):
             return RunResult(RunEnd.LOST, f"failure {head.status} not whole")
@@ -190,7 +190,7 @@
             return RunResult(RunEnd.LOST, self._given_up)
         if not broken.sent:
             if broken.failure is Failure.CONNECT:
-                self._connecting.on_unreached(first.name)
+                self._connect_attempts.on_connect_failed(first.name)
                 state.avoid.add(first.name)
             else:
                 state.avoid_engine(first.name, broken.failure.value)
@@ -212,7 +212,7 @@
             state.avoid_engine(first.name, f"report: {report.message}")
             self._crashes.on_lost(state.pending, first.name, first.address)
 
-    def _on_turned_away(self, head: Head, facts: AnswerFacts) -> RunResult:
+    def _on_turned_away(self, head: Head, facts: AnswerMetadata) -> RunResult:
         state = self._state
         reason = f"turned away with {head.status}"
         fleet = self._context.fleet
@@ -287,7 +287,7 @@
     def _encode(self) -> bytes:
         state = self._state
         pending = state.pending
-        sending = Sending(
+        sending = ForwardMetadata(
             backend=state.path.first.name,
             left_ms=state.left_ms,
             account=pending.account,
--- a/caroblug/gateway/tests/fakes.py
+++ b/caroblug/gateway/tests/fakes.py
@@ -44,7 +44,7 @@
     def decode_request(self, request):
         raise NotImplementedError
 
-    def encode_request(self, request, caller, sending):
+    def encode_request(self, request, caller, metadata):
         raise NotImplementedError
 
     def decode_answer(self, head):
--- a/caroblug/gateway/tests/test_first_settings.py
+++ b/caroblug/gateway/tests/test_initial_settings.py
@@ -3,7 +3,7 @@
 from caroblug.gateway import (
     GatewaySettings,
     SettingsProblem,
-    read_first_settings,
+    read_initial_settings,
 )
 from caroblug.gateway.tests.fakes import NOWHERE
 
@@ -18,7 +18,7 @@
     reads = iter([PROBLEM, PROBLEM, SETTINGS])
     pauses = []
 
-    settings = read_first_settings(lambda: next(reads), pauses.append)
+    settings = read_initial_settings(lambda: next(reads), pauses.append)
 
     assert settings == SETTINGS
     assert len(pauses) == 2
@@ -27,7 +27,7 @@
 def test_file_that_stays_broken_ends_the_start():
     pauses = []
 
-    settings = read_first_settings(lambda: PROBLEM, pauses.append)
+    settings = read_initial_settings(lambda: PROBLEM, pauses.append)
 
     assert settings == PROBLEM
     assert sum(pauses) <= 2.0
--- a/caroblug/gateway/tests/test_watches.py
+++ b/caroblug/gateway/tests/test_store_watcher.py
@@ -8,11 +8,11 @@
 from caroblug.gateway import (
     ConfigurationRead,
     Unavailable,
-    _watches,
+    _store_watcher,
     make_listing,
 )
 from caroblug.gateway._peers import LeaseState
-from caroblug.gateway._watches import Watches
+from caroblug.gateway._store_watcher import StoreWatcher
 from caroblug.gateway.tests.test_placement import make_placement, tell
 from caroblug.utils import ManualClock
 
@@ -24,7 +24,7 @@
 def test_configuration_is_read_again_when_the_store_is_back():
     # Guards against a change that is taken only when a lost wait has ended.
     context, registry, peers, _ = make_placement()
-    watches = Watches(context, registry, peers)
+    watches = StoreWatcher(context, registry, peers)
     reads = []
     registry.read_configuration = lambda: reads.append(1) or Unavailable("")
     registry.read_backends = lambda: Unavailable("silent")
@@ -39,7 +39,7 @@
 def test_wait_that_hangs_is_given_up_when_the_store_is_back():
     # Guards against a wait on a connection that went silent with the store.
     context, registry, peers, _ = make_placement()
-    watches = Watches(context, registry, peers)
+    watches = StoreWatcher(context, registry, peers)
     registry.wait_for_change = lambda end, wait_ms: event.Event().wait()
     registry.read_configuration = lambda: ConfigurationRead(configured(6), 1)
     loop = gevent.spawn(watches.run_configuration)
@@ -61,7 +61,7 @@
     # Guards against waits that all hang on silent connections for long.
     context, registry, peers, _ = make_placement()
     context.fleet.loads.gateways = gateways
-    wait_ms = Watches(context, registry, peers)._wait_ms()
+    wait_ms = StoreWatcher(context, registry, peers)._wait_ms()
 
     assert 3000 <= wait_ms <= 20_000
     assert wait_ms / max(1, gateways) <= 4000
@@ -70,7 +70,7 @@
 def test_store_that_is_away_is_asked_less_and_less_often():
     # Guards against many paid calls to a store that refuses them all.
     context, registry, peers, _ = make_placement()
-    watches = Watches(context, registry, peers)
+    watches = StoreWatcher(context, registry, peers)
 
     assert context.configuration is not None
     pauses = [watches._again_ms(failures) for failures in range(40)]
@@ -84,12 +84,12 @@
 
 @pytest.fixture
 def watched(monkeypatch):
-    """Watches with short bounds on reads, and what they share."""
-    monkeypatch.setattr(_watches, "_READ_MS", 20)
-    monkeypatch.setattr(_watches, "_BACK_READ_S", 0.02)
-    monkeypatch.setattr(_watches, "_AGAIN_MS", 1)
+    """StoreWatcher with short bounds on reads, and what they share."""
+    monkeypatch.setattr(_store_watcher, "_READ_MS", 20)
+    monkeypatch.setattr(_store_watcher, "_BACK_READ_S", 0.02)
+    monkeypatch.setattr(_store_watcher, "_AGAIN_MS", 1)
     context, registry, peers, _ = make_placement()
-    return Watches(context, registry, peers), context, registry, peers
+    return StoreWatcher(context, registry, peers), context, registry, peers
 
 
 def hang(*args):
@@ -126,8 +126,8 @@
     watched, monkeypatch
 ):
     # Guards against a read that was sent while the store answered nobody.
-    monkeypatch.setattr(_watches, "_READ_MS", 1_000_000)
-    monkeypatch.setattr(_watches, "_READ_MOST_MS", 1_000_000)
+    monkeypatch.setattr(_store_watcher, "_READ_MS", 1_000_000)
+    monkeypatch.setattr(_store_watcher, "_READ_MOST_MS", 1_000_000)
     watches, context, registry, _ = watched
     registry.read_configuration = hang
     loop = loop_of(watches)
@@ -144,7 +144,7 @@
 
 def test_read_that_hangs_does_not_hold_up_the_list(watched, monkeypatch):
     # Guards against leaving backend servers that get work while a read hangs.
-    monkeypatch.setattr(_watches, "_READ_MS", 1_000_000)
+    monkeypatch.setattr(_store_watcher, "_READ_MS", 1_000_000)
     watches, context, registry, _ = watched
     registry.read_configuration = hang
     registry.read_backends = lambda: Unavailable("silent")
@@ -178,8 +178,8 @@
 
 def test_wait_that_outlasts_its_time_is_given_up(watched, monkeypatch):
     # Guards against a wait that brings bytes now and then, but no end.
-    monkeypatch.setattr(_watches, "_FIRST_WAIT_MS", 1)
-    monkeypatch.setattr(_watches, "_WAIT_SLACK_MS", 20)
+    monkeypatch.setattr(_store_watcher, "_FIRST_WAIT_MS", 1)
+    monkeypatch.setattr(_store_watcher, "_WAIT_SLACK_MS", 20)
     watches, context, registry, _ = watched
     versions = iter([6, 7])
     registry.read_configuration = lambda: ConfigurationRead(
@@ -195,7 +195,7 @@
 
 def test_reads_that_fail_in_a_row_get_more_time():
     # Guards against a large configuration that a slow link never brings whole.
-    bounds = [_watches._read_bound_ms(failures) for failures in range(6)]
+    bounds = [_store_watcher._read_bound_ms(failures) for failures in range(6)]
 
     assert bounds == sorted(bounds)
     assert bounds[-1] >= 10_000
@@ -209,7 +209,7 @@
     for index in range(2, 9):
         tell(peers, f"g{index}", LeaseState.NONE)
 
-    assert Watches(context, registry, peers)._wait_ms() <= 3000
+    assert StoreWatcher(context, registry, peers)._wait_ms() <= 3000
 
 
 @pytest.mark.parametrize("gateways", [5, 26, 400])
@@ -218,7 +218,7 @@
     context, registry, peers, _ = make_placement("g2")
     context.fleet.loads.gateways = gateways
     tell(peers, "g1", LeaseState.NONE)
-    wait_ms = Watches(context, registry, peers)._wait_ms()
+    wait_ms = StoreWatcher(context, registry, peers)._wait_ms()
 
     assert 3000 <= wait_ms <= 20_000
     assert wait_ms >= min(15_000, 750 * gateways)
@@ -229,7 +229,7 @@
     # Guards against the end of the gateway that found changes for the others.
     clock = ManualClock(100_000)
     context, registry, peers, _ = make_placement("g2", clock)
-    watches = Watches(context, registry, peers)
+    watches = StoreWatcher(context, registry, peers)
     tell(peers, "g1", LeaseState.NONE)
     registry.read_configuration = lambda: ConfigurationRead(configured(6), 1)
     registry.wait_for_change = hang
