--- a/caroblug/gateway/_gateway.py
+++ b/caroblug/gateway/_gateway.py
@@ -32,9 +32,9 @@
 from caroblug.gateway._settings import GatewaySettings, SettingsProblem
 from caroblug.gateway._shared_retry_budget import LEND_PATH, SharedRetryBudget
 from caroblug.gateway._slowness import Slowness
+from caroblug.gateway._store_watcher import StoreWatcher
 from caroblug.gateway._streams import StreamHandler
-from caroblug.gateway._tallies import Tallies
-from caroblug.gateway._watches import Watches
+from caroblug.gateway._telemetry import Telemetry
 from caroblug.utils import BoottimeClock
 
 _DENIALS = {
@@ -85,7 +85,7 @@
         self._reload = reload
         self._crashes = CrashSuspicions(context.clock, context.fleet)
         self._peers = Peers(context, registry, self._crashes)
-        self._watches = Watches(context, registry, self._peers)
+        self._store_watcher = StoreWatcher(context, registry, self._peers)
         self._placement = Placement(context, registry, self._peers)
         self._rechecks = Rechecks(context)
         self._responses = GatewayResponses(context)
@@ -136,8 +136,8 @@
         self._ready.start()
         self._peer_calls.start()
         for loop in (
-            self._watches.run_configuration,
-            self._watches.run_list,
+            self._store_watcher.run_configuration,
+            self._store_watcher.run_list,
             self._placement.run_lease,
             self._placement.run_plan,
             self._peers.run_members,
@@ -188,7 +188,7 @@
             return
         context.log.write("settings.taken", settings=str(settings))
         context.settings = settings
-        context.repeats.set_bound(
+        context.retry_budget.set_bound(
             settings.retry_ratio, settings.retry_extra, settings.retry_window_ms
         )
 
@@ -288,7 +288,7 @@
         if status == 503:
             after_ms = context.retry_after.ms(UNREADY_RETRY_AFTER_MS)
         known = context.configuration
-        context.tallies.count("denied", status=str(status), reason=reason)
+        context.telemetry.count("denied", status=str(status), reason=reason)
         context.log.write(
             "request.denied",
             request=caller.id,
@@ -309,7 +309,7 @@
     def _answer_metrics(self, request: RawRequest, reply: Reply) -> None:
         del request
         kind = ("Content-Type", "text/plain; version=0.0.4")
-        reply.send(200, [kind], self._context.tallies.expose())
+        reply.send(200, [kind], self._context.telemetry.expose())
 
 
 def make_gateway(
@@ -334,13 +334,13 @@
         rng=rng,
         dialect=dialect,
         fleet=Fleet(settings.data_centre, rng),
-        repeats=WindowedRetryBudget(
+        retry_budget=WindowedRetryBudget(
             settings.retry_ratio,
             settings.retry_extra,
             settings.retry_window_ms,
         ),
         retry_after=RetryAfter(rng),
         log=DecisionLog(settings.instance, clock),
-        tallies=Tallies(),
+        telemetry=Telemetry(),
     )
     return Gateway(context, registry, reload)
--- a/caroblug/gateway/_interfaces.py
+++ b/caroblug/gateway/_interfaces.py
@@ -85,7 +85,7 @@
 
 
 @attrs.frozen
-class NothingNew:
+class NoChange:
     """No change came in the time given.
 
     Attributes:
@@ -107,7 +107,7 @@
 
 
 @attrs.frozen
-class Tenure:
+class PlacementLease:
     """Whether this entry is the one that places layers.
 
     Attributes:
@@ -143,7 +143,7 @@
     @abc.abstractmethod
     def wait_for_change(
         self, end: int, wait_ms: int
-    ) -> ConfigurationRead | NothingNew | Unavailable:
+    ) -> ConfigurationRead | NoChange | Unavailable:
         """Waits until the configuration changes past `end`."""
 
     @abc.abstractmethod
@@ -151,7 +151,9 @@
         """Reads the list of backend servers."""
 
     @abc.abstractmethod
-    def keep_tenure(self, lease_ms: int) -> Tenure | Unavailable:
+    def renew_placement_lease(
+        self, lease_ms: int
+    ) -> PlacementLease | Unavailable:
         """Takes part in, or renews, the choice of who places layers."""
 
     @abc.abstractmethod
@@ -167,8 +169,8 @@
         """Reads a list that another gateway has handed on."""
 
     @abc.abstractmethod
-    def end_tenure(self) -> None:
-        """Gives up at once what `keep_tenure` gave."""
+    def release_placement_lease(self) -> None:
+        """Gives up at once what `renew_placement_lease` gave."""
 
 
 @attrs.frozen
@@ -199,7 +201,7 @@
 
 
 @attrs.frozen
-class Sending:
+class ForwardMetadata:
     """What the gateway adds to a request when it sends it on.
 
     Attributes:
@@ -228,7 +230,7 @@
 
 
 @attrs.frozen
-class AnswerFacts:
+class AnswerMetadata:
     """What the head of a backend server's answer says.
 
     Attributes:
@@ -294,12 +296,15 @@
 
     @abc.abstractmethod
     def encode_request(
-        self, request: RawRequest, caller: CallerRequest, sending: Sending
+        self,
+        request: RawRequest,
+        caller: CallerRequest,
+        metadata: ForwardMetadata,
     ) -> bytes:
         """Returns the bytes to send to a backend server."""
 
     @abc.abstractmethod
-    def decode_answer(self, head: ResponseHead) -> AnswerFacts:
+    def decode_answer(self, head: ResponseHead) -> AnswerMetadata:
         """Reads the head of a backend server's answer."""
 
     @abc.abstractmethod
--- a/caroblug/gateway/_placement.py
+++ b/caroblug/gateway/_placement.py
@@ -25,7 +25,7 @@
     Registry,
     Unavailable,
 )
-from caroblug.gateway._peers import Peers, TenureState
+from caroblug.gateway._peers import LeaseState, Peers
 
 _RENEW_MS = 800
 _LEASE_MS = 2600
@@ -107,10 +107,12 @@
         """
         if self._stopped:
             return False
-        return self.holder or self._stays_on() or self._peers.is_deputy()
+        return (
+            self.holder or self._stays_on() or self._peers.is_acting_standby()
+        )
 
     def _stays_on(self) -> bool:
-        return self._stays and not self._peers.hear_holder()
+        return self._stays and not self._peers.another_holds_lease()
 
     def run_lease(self) -> None:
         """Renews the lease until stopped."""
@@ -129,24 +131,24 @@
         """
         asked_ms = self._context.clock.now_ms()
         held = self.holder
-        tenure = self._registry.keep_tenure(_LEASE_MS)
-        answered = not isinstance(tenure, Unavailable)
+        lease = self._registry.renew_placement_lease(_LEASE_MS)
+        answered = not isinstance(lease, Unavailable)
         if answered:
-            self._until_ms = asked_ms + _LEASE_MS if tenure.holder else -1
+            self._until_ms = asked_ms + _LEASE_MS if lease.holder else -1
             self._stays = False
-            self._context.fleet.loads.gateways = tenure.gateways
+            self._context.fleet.loads.gateways = lease.gateways
         elif held:
             self._stays = True
-        self._peers.tenure = self._state()
+        self._peers.lease_state = self._state()
         if held != self.holder:
             self._context.log.write("placement.lease", held=self.holder)
-        return answered and held and not tenure.holder
+        return answered and held and not lease.holder
 
-    def _state(self) -> TenureState:
+    def _state(self) -> LeaseState:
         if self._stopped:
-            return TenureState.LEAVING
+            return LeaseState.LEAVING
         held = self.holder or self._stays_on()
-        return TenureState.HELD if held else TenureState.NONE
+        return LeaseState.HELD if held else LeaseState.NONE
 
     def run_plan(self) -> None:
         """Compares plan and fleet until stopped."""
@@ -158,7 +160,7 @@
                     "placement.acting",
                     acting=acted,
                     lease=self.holder,
-                    gateways=self._peers.describe(),
+                    gateways=self._peers.describe_lease_states(),
                 )
             self.plan_once()
             gevent.sleep(_PLAN_MS / 1000)
@@ -175,10 +177,10 @@
     def stop(self) -> None:
         """Gives the lease back."""
         self._stopped = True
-        self._peers.tenure = self._state()
+        self._peers.lease_state = self._state()
         if self.holder:
             self._until_ms = -1
-            self._registry.end_tenure()
+            self._registry.release_placement_lease()
 
     def _place(self, service: Service) -> None:
         context = self._context
@@ -272,7 +274,7 @@
         outcome = context.dialect.place(
             engine.address, move.target, report.orders, move.urgent
         )
-        context.tallies.count("orders", outcome=outcome.value)
+        context.telemetry.count("orders", outcome=outcome.value)
         context.log.write(
             "placement.order",
             backend_server=engine.name,
@@ -306,7 +308,7 @@
             report = self._context.dialect.read_report(keeper.address)
             now_ms = self._context.clock.now_ms()
             if isinstance(report, Unavailable):
-                self._context.ask_about.add(keeper.name)
+                self._context.engines_to_probe.add(keeper.name)
                 reason = report.message
             elif report.busy:
                 fleet.on_busy(keeper.name, now_ms)
--- a/caroblug/gateway/_plain_calls.py
+++ b/caroblug/gateway/_plain_calls.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from caroblug.gateway._connecting import CONNECT_S
+from caroblug.gateway._connect_attempts import CONNECT_TIMEOUT_S
 from caroblug.gateway._context import Context
 from caroblug.gateway._crash_suspicions import CrashSuspicions
 from caroblug.gateway._exchange_results import (
@@ -16,10 +16,10 @@
 from caroblug.gateway._fleet import seems_gone
 from caroblug.gateway._http_client import Exchange
 from caroblug.gateway._interfaces import (
-    AnswerFacts,
+    AnswerMetadata,
     BackendServer,
+    ForwardMetadata,
     RunState,
-    Sending,
 )
 from caroblug.gateway._pending_request import GatewayResponses, PendingRequest
 from caroblug.gateway._shared_retry_budget import SharedRetryBudget
@@ -59,7 +59,7 @@
     next: Next
     reason: str = ""
     head: ResponseHead | None = None
-    facts: AnswerFacts | None = None
+    facts: AnswerMetadata | None = None
     body: bytes = b""
 
 
@@ -128,7 +128,7 @@
             exchange.close()
             context.fleet.leave(backend.name)
         if tried.next is not Next.ANSWERED:
-            context.tallies.count("tries_failed", reason=tried.reason)
+            context.telemetry.count("tries_failed", reason=tried.reason)
             context.log.write(
                 "call.try_failed",
                 request=pending.caller.id,
@@ -147,7 +147,7 @@
         context = self._context
         clock = context.clock
         left_s = pending.left_ms(clock.now_ms()) / 1000
-        problem = exchange.connect(min(CONNECT_S, left_s))
+        problem = exchange.connect(min(CONNECT_TIMEOUT_S, left_s))
         if problem is None:
             pending.on_send(self._context)
             data = self._encode(pending, backend)
@@ -203,7 +203,7 @@
         return Tried(Next.FAILED, broken.failure.value)
 
     def _encode(self, pending: PendingRequest, backend: BackendServer) -> bytes:
-        sending = Sending(
+        sending = ForwardMetadata(
             backend=backend.name,
             left_ms=pending.left_ms(self._context.clock.now_ms()),
             account=pending.account,
--- a/caroblug/gateway/_stream_runner.py
+++ b/caroblug/gateway/_stream_runner.py
@@ -1,7 +1,7 @@
 """One run of a stream: sent to the first engine of a path, read to its end."""
 
 from caroblug.core.placement import Path
-from caroblug.gateway._connecting import Connecting
+from caroblug.gateway._connect_attempts import ConnectAttempts
 from caroblug.gateway._crash_suspicions import CrashSuspicions
 from caroblug.gateway._events import EventPace, Misordered
 from caroblug.gateway._exchange_results import (
@@ -12,9 +12,9 @@
     ResponseHead,
 )
 from caroblug.gateway._interfaces import (
-    AnswerFacts,
+    AnswerMetadata,
+    ForwardMetadata,
     RunState,
-    Sending,
     Unavailable,
 )
 from caroblug.gateway._run_results import RunEnd, RunResult
@@ -60,13 +60,13 @@
         self._repair = repair
         self._crashes = crashes
         self._running = running
-        self._connecting = Connecting()
+        self._connect_attempts = ConnectAttempts()
         self._given_up = ""
 
     @property
     def unreachable(self) -> bool:
         """Whether too many engines in a row took no connection."""
-        return self._connecting.exhausted
+        return self._connect_attempts.exhausted
 
     def run(self, stream: RunningStream, path: Path) -> RunResult:
         """Runs the stream over a path; returns how that ended."""
@@ -103,11 +103,11 @@
         pending = state.pending
         first = state.path.first.name
         left_s = state.left_ms / 1000
-        bound_s = min(self._connecting.bound_s, left_s)
-        problem = state.exchange.connect(bound_s)
+        timeout_s = min(self._connect_attempts.timeout_s, left_s)
+        problem = state.exchange.connect(timeout_s)
         if problem is not None:
             return problem
-        for name in self._connecting.on_connected():
+        for name in self._connect_attempts.on_connected():
             state.avoid_engine(name, FailureKind.CONNECT.value)
         pending.on_send(self._context)
         pending.tried.add(first)
@@ -144,7 +144,9 @@
             return self._read_failure(head, facts)
         return self._read_events(head, facts)
 
-    def _read_events(self, head: ResponseHead, facts: AnswerFacts) -> RunResult:
+    def _read_events(
+        self, head: ResponseHead, facts: AnswerMetadata
+    ) -> RunResult:
         state = self._state
         reply = state.pending.reply
         while True:
@@ -183,7 +185,7 @@
         state.last_event_ms = now_ms
 
     def _read_failure(
-        self, head: ResponseHead, facts: AnswerFacts
+        self, head: ResponseHead, facts: AnswerMetadata
     ) -> RunResult:
         body = self._state.exchange.read_body(self._state.left_ms / 1000)
         if not isinstance(body, bytes):
@@ -201,7 +203,7 @@
             return RunResult(RunEnd.LOST, self._given_up)
         if not broken.sent:
             if broken.failure is FailureKind.CONNECT:
-                self._connecting.on_unreached(first.name)
+                self._connect_attempts.on_connect_failed(first.name)
                 state.avoid.add(first.name)
             else:
                 state.avoid_engine(first.name, broken.failure.value)
@@ -226,7 +228,7 @@
             )
 
     def _on_turned_away(
-        self, head: ResponseHead, facts: AnswerFacts
+        self, head: ResponseHead, facts: AnswerMetadata
     ) -> RunResult:
         state = self._state
         reason = f"turned away with {head.status}"
@@ -238,7 +240,7 @@
             state.avoid.add(name)
         fleet.on_full(name, state.now_ms)
         if at_fault is not None:
-            self._context.ask_about.add(at_fault.name)
+            self._context.engines_to_probe.add(at_fault.name)
         return RunResult(RunEnd.TURNED_AWAY, f"{reason} by {name}")
 
     def _on_quiet(self, look_s: float) -> RunResult | None:
@@ -292,7 +294,7 @@
         for engine in dead:
             # It may be dead or have given up its layers: its report tells.
             state.avoid.add(engine.name)
-            self._context.ask_about.add(engine.name)
+            self._context.engines_to_probe.add(engine.name)
             self._crashes.on_connection_lost(
                 state.pending, engine.name, engine.address
             )
@@ -304,7 +306,7 @@
     def _encode(self) -> bytes:
         state = self._state
         pending = state.pending
-        sending = Sending(
+        sending = ForwardMetadata(
             backend=state.path.first.name,
             left_ms=state.left_ms,
             account=pending.account,
--- a/caroblug/gateway/tests/test_shared_retry_budget.py
+++ b/caroblug/gateway/tests/test_shared_retry_budget.py
@@ -6,7 +6,7 @@
 
 from caroblug.core.limits import WindowedRetryBudget
 from caroblug.gateway._interfaces import Member, Unavailable
-from caroblug.gateway._peers import TenureState
+from caroblug.gateway._peers import LeaseState
 from caroblug.gateway._shared_retry_budget import LEND_PATH, SharedRetryBudget
 from caroblug.gateway.tests.test_placement import make_placement, tell
 from caroblug.utils import ManualClock
@@ -31,10 +31,10 @@
 
     def _add(self, name: str) -> None:
         context, _, peers, _ = make_placement(name, self.clock)
-        context.repeats = WindowedRetryBudget(0.0, EXTRA, WINDOW_MS)
+        context.retry_budget = WindowedRetryBudget(0.0, EXTRA, WINDOW_MS)
         context.fleet.loads.gateways = GATEWAYS
         self._peers[name] = peers
-        self.windows[name] = context.repeats
+        self.windows[name] = context.retry_budget
         self.repeats[name] = SharedRetryBudget(context, peers)
         peers.call = self.call
 
@@ -51,11 +51,11 @@
                 if other == name:
                     continue
                 left = window.remaining("pool", GATEWAYS, self.clock.now_ms())
-                peers._on_member(Member(other, ("10.0.0.1", 1)))
+                peers._add_member(Member(other, ("10.0.0.1", 1)))
                 tell(
                     peers,
                     other,
-                    TenureState.NONE,
+                    LeaseState.NONE,
                     repeats={"pool": int(left)},
                 )
 
