--- a/caroblug/gateway/_calls.py
+++ b/caroblug/gateway/_calls.py
@@ -113,12 +113,12 @@
         context = self._context
         pending.tried.add(backend.name)
         exchange = Exchange(backend.address)
-        context.fleet.enter(backend.name)
+        context.fleet.begin_request(backend.name)
         try:
             tried = self._exchange(pending, backend, exchange)
         finally:
             exchange.close()
-            context.fleet.leave(backend.name)
+            context.fleet.end_request(backend.name)
         if tried.next is not Next.ANSWERED:
             context.tallies.count("tries_failed", reason=tried.reason)
             context.log.write(
@@ -150,7 +150,7 @@
         if isinstance(head, Broken):
             return self._on_broken(pending, backend, head)
         facts = context.dialect.decode_answer(head)
-        context.fleet.on_answer(
+        context.fleet.on_response(
             backend.name, facts.running, facts.waiting, clock.now_ms()
         )
         if facts.run is RunState.NOT_RUN:
@@ -175,7 +175,7 @@
     ) -> Tried:
         context = self._context
         if seems_gone(broken.failure):
-            for_ms = context.fleet.avoid(backend.name, context.clock.now_ms())
+            for_ms = context.fleet.eject(backend.name, context.clock.now_ms())
             context.log.write(
                 "backend_server.avoided",
                 backend_server=backend.name,
--- a/caroblug/gateway/_fleet.py
+++ b/caroblug/gateway/_fleet.py
@@ -100,7 +100,7 @@
         self._loads = EngineLoads()
 
     @property
-    def known(self) -> bool:
+    def has_listing(self) -> bool:
         """Whether a list has been read."""
         return self._listed_ms >= 0
 
@@ -114,11 +114,11 @@
         """Tokens on each engine."""
         return self._loads
 
-    def age_ms(self, now_ms: int) -> int:
+    def listing_age_ms(self, now_ms: int) -> int:
         """Returns the age of the list, in ms."""
         return now_ms - self._listed_ms
 
-    def take_listing(self, listing: Listing, now_ms: int) -> bool:
+    def update_listing(self, listing: Listing, now_ms: int) -> bool:
         """Takes a list; an older one than the last is left out.
 
         Guards against a store that answers from before: backend servers
@@ -199,7 +199,7 @@
             now_ms: Time now.
         """
         usable = [b for b in self.backends(service.name) if b.name not in tried]
-        sound = [b for b in usable if not self.avoided(b.name, now_ms)]
+        sound = [b for b in usable if not self.is_excluded(b.name, now_ms)]
         if not sound:
             # Everyone failed lately: the one whose failure is oldest may be
             # back, and asking costs a refused connection at most.
@@ -229,7 +229,7 @@
             for e in self.engines(service, now_ms)
             if e.name not in avoid
             and not self._met[e.name].failures
-            and not self.avoided(e.name, now_ms)
+            and not self.is_excluded(e.name, now_ms)
         ]
         return choose_path(
             engines,
@@ -305,7 +305,7 @@
         until_ms = now_ms + _LATE_ORDER_MS
         met.uncertain_until_ms = max(met.uncertain_until_ms, until_ms)
 
-    def uncertain(self, now_ms: int) -> dict[str, int]:
+    def unanswered_orders(self, now_ms: int) -> dict[str, int]:
         """Returns engines with unanswered orders, with the age in ms."""
         return {
             name: now_ms - (met.uncertain_until_ms - _LATE_ORDER_MS)
@@ -330,7 +330,7 @@
         met.told_holds = holds
         met.told_holds_ms = now_ms
 
-    def recently_told(self, now_ms: int) -> dict[str, tuple[LayerRange, int]]:
+    def recent_reports(self, now_ms: int) -> dict[str, tuple[LayerRange, int]]:
         """Returns layers that engines told lately, with the age in ms."""
         return {
             name: (met.told_holds, now_ms - met.told_holds_ms)
@@ -345,7 +345,7 @@
             return False
         return self._listed_ms < met.told_holds_ms + _HEARD_KEPT_MS
 
-    def on_pace(self, name: str, pace: float, told_ms: int) -> bool:
+    def on_slowdown(self, name: str, pace: float, told_ms: int) -> bool:
         """Takes how many times slower than its kind an engine says it is.
 
         Args:
@@ -365,7 +365,7 @@
         met.pace_until_ms = self._next_question_ms(told_ms)
         return news
 
-    def recent_paces(self, now_ms: int) -> dict[str, tuple[float, int]]:
+    def recent_slowdowns(self, now_ms: int) -> dict[str, tuple[float, int]]:
         """Returns how slow engines said they are, with the age in ms."""
         return {
             name: (met.pace, now_ms - met.pace_ms)
@@ -377,11 +377,11 @@
         spread_ms = self._rng.randrange(_PACE_SPREAD_MS)
         return now_ms + _PACE_KEPT_MS + spread_ms
 
-    def pace(self, name: str) -> float:
+    def slowdown(self, name: str) -> float:
         """Returns how many times slower than its kind an engine is."""
         return self._met[name].pace
 
-    def slow_until(self, now_ms: int) -> list[str]:
+    def slow_engines_due(self, now_ms: int) -> list[str]:
         """Returns slow engines that are due to be asked again."""
         due = [
             name
@@ -410,7 +410,7 @@
         met.placed = None
         met.busy_until_ms = 0
 
-    def avoided(self, name: str, now_ms: int) -> bool:
+    def is_excluded(self, name: str, now_ms: int) -> bool:
         """Returns whether a backend server failed lately."""
         met = self._met[name]
         return met.avoid_until_ms > now_ms or met.full_until_ms > now_ms
@@ -436,7 +436,7 @@
         """Returns whether a backend server's last word was a failure."""
         return self._met[name].failures > 0
 
-    def failing(self, now_ms: int) -> list[BackendServer]:
+    def due_for_probe(self, now_ms: int) -> list[BackendServer]:
         """Returns backend servers whose failure is due to be looked into."""
         return [
             b
@@ -445,7 +445,7 @@
             and self._met[b.name].avoid_until_ms <= now_ms
         ]
 
-    def avoided_now(self, now_ms: int) -> list[str]:
+    def ejected(self, now_ms: int) -> list[str]:
         """Returns the names of backend servers that seem gone."""
         return [
             name
@@ -453,7 +453,7 @@
             if met.failures and met.avoid_until_ms > now_ms
         ]
 
-    def avoid(self, name: str, now_ms: int) -> int:
+    def eject(self, name: str, now_ms: int) -> int:
         """Notes a failure that says the backend server may be gone.
 
         Returns:
@@ -478,12 +478,12 @@
         met.refusals += 1
         met.full_until_ms = now_ms + for_ms
 
-    def on_room(self, names: tuple[str, ...]) -> None:
+    def on_accepted(self, names: tuple[str, ...]) -> None:
         """Notes that backend servers took a request."""
         for name in names:
             self._met[name].refusals = 0
 
-    def on_answer(
+    def on_response(
         self, name: str, running: int | None, waiting: int, now_ms: int
     ) -> None:
         """Notes what an answer says of a backend server's load."""
@@ -495,11 +495,11 @@
             met.running = running + waiting
             met.told_ms = now_ms
 
-    def enter(self, name: str) -> None:
+    def begin_request(self, name: str) -> None:
         """Counts a request in flight."""
         self._met[name].in_flight += 1
 
-    def leave(self, name: str) -> None:
+    def end_request(self, name: str) -> None:
         """Takes a request in flight off again."""
         self._met[name].in_flight -= 1
 
--- a/caroblug/gateway/_gateway.py
+++ b/caroblug/gateway/_gateway.py
@@ -115,7 +115,7 @@
         """Whether new connections should come here."""
         return (
             self._context.configuration is not None
-            and self._context.fleet.known
+            and self._context.fleet.has_listing
             and not self._leaving.is_set()
         )
 
--- a/caroblug/gateway/_peers.py
+++ b/caroblug/gateway/_peers.py
@@ -229,7 +229,7 @@
         context = self._context
         now_ms = context.clock.now_ms()
         settings = context.settings
-        told = context.fleet.recently_told(now_ms)
+        told = context.fleet.recent_reports(now_ms)
         return {
             "name": settings.instance,
             "address": list(settings.peers),
@@ -242,14 +242,14 @@
             "list_age_ms": self._list_age_ms(),
             "list_digest": context.fleet.listing.digest,
             "list_end": context.fleet.listing.end,
-            "suspects": context.fleet.avoided_now(now_ms),
+            "suspects": context.fleet.ejected(now_ms),
             "told": {
                 engine: [layers.first, layers.end, age_ms]
                 for engine, (layers, age_ms) in told.items()
             },
-            "paces": context.fleet.recent_paces(now_ms),
+            "paces": context.fleet.recent_slowdowns(now_ms),
             "leaving": context.fleet.recently_leaving(now_ms),
-            "unanswered": context.fleet.uncertain(now_ms),
+            "unanswered": context.fleet.unanswered_orders(now_ms),
             "crashes": self._crashes.tell(),
             "tenure": self.tenure.value,
             "holder_age_ms": self._holder_age_ms(now_ms),
@@ -322,7 +322,7 @@
             if not isinstance(listing, Unavailable):
                 age_ms = int(answer["list_age_ms"])
                 listed_ms = context.clock.now_ms() - age_ms
-                context.fleet.take_listing(listing, listed_ms)
+                context.fleet.update_listing(listing, listed_ms)
 
     # What was told.
 
@@ -406,7 +406,7 @@
         """
         now_ms = self._context.clock.now_ms()
         for name, (pace, age_ms) in paces.items():
-            self._context.fleet.on_pace(
+            self._context.fleet.on_slowdown(
                 str(name), float(pace), now_ms - int(age_ms)
             )
 
@@ -518,6 +518,6 @@
 
     def _list_age_ms(self) -> int:
         fleet = self._context.fleet
-        if not fleet.known:
+        if not fleet.has_listing:
             return 1_000_000
-        return fleet.age_ms(self._context.clock.now_ms())
+        return fleet.listing_age_ms(self._context.clock.now_ms())
--- a/caroblug/gateway/_pending.py
+++ b/caroblug/gateway/_pending.py
@@ -150,7 +150,7 @@
             ran=pending.ran,
             tried=sorted(pending.tried),
             configuration=pending.admitted.version,
-            backends_age_ms=context.fleet.age_ms(now_ms),
+            backends_age_ms=context.fleet.listing_age_ms(now_ms),
             **_describe(pending),
         )
 
--- a/caroblug/gateway/_placement.py
+++ b/caroblug/gateway/_placement.py
@@ -209,7 +209,7 @@
             for e in fleet.engines(service, now_ms)
             if not fleet.has_ended(e.name)
             and fleet.failed_for_ms(e.name, now_ms) < _LOST_MS
-            and fleet.pace(e.name) < _TOO_SLOW
+            and fleet.slowdown(e.name) < _TOO_SLOW
         ]
         sound = [e for e in engines if not fleet.is_failing(e.name)]
         return engines if covers(sound, model_of(service)) else sound
@@ -243,7 +243,7 @@
         engine = move.engine
         report = context.dialect.read_report(engine.address)
         if isinstance(report, Unavailable):
-            context.fleet.avoid(engine.name, context.clock.now_ms())
+            context.fleet.eject(engine.name, context.clock.now_ms())
             context.log.write(
                 "placement.no_report",
                 backend_server=engine.name,
--- a/caroblug/gateway/_rechecks.py
+++ b/caroblug/gateway/_rechecks.py
@@ -36,7 +36,7 @@
         while True:
             gevent.sleep(_EVERY_S)
             now_ms = self._context.clock.now_ms()
-            for backend in self._context.fleet.failing(now_ms):
+            for backend in self._context.fleet.due_for_probe(now_ms):
                 self.ask(backend)
             names = set(self._context.ask_about)
             self._context.ask_about.clear()
@@ -74,14 +74,16 @@
             context.log.write(
                 "backend_server.leaving",
                 backend_server=backend.name,
-                list_age_ms=context.fleet.age_ms(context.clock.now_ms()),
+                list_age_ms=context.fleet.listing_age_ms(
+                    context.clock.now_ms()
+                ),
             )
 
     def _ask(self, backend: BackendServer) -> None:
         context = self._context
         try:
             if backend.holds is None:
-                context.fleet.on_answer(
+                context.fleet.on_response(
                     backend.name, None, 0, context.clock.now_ms()
                 )
                 return
@@ -91,11 +93,11 @@
         now_ms = context.clock.now_ms()
         was_failing = context.fleet.failed_for_ms(backend.name, now_ms) > 0
         if isinstance(report, Unavailable):
-            context.fleet.avoid(backend.name, now_ms)
+            context.fleet.eject(backend.name, now_ms)
             return
-        context.fleet.on_answer(backend.name, None, 0, now_ms)
+        context.fleet.on_response(backend.name, None, 0, now_ms)
         context.fleet.on_report(backend.name, report.holds, now_ms)
-        if context.fleet.age_ms(now_ms) > _OLD_LIST_MS:
+        if context.fleet.listing_age_ms(now_ms) > _OLD_LIST_MS:
             self._ask_health(backend)
         if not was_failing:
             return
--- a/caroblug/gateway/_running.py
+++ b/caroblug/gateway/_running.py
@@ -103,7 +103,7 @@
         now_ms = context.clock.now_ms()
         if ended:
             context.fleet.on_ended(engine.name)
-        for_ms = context.fleet.avoid(engine.name, now_ms)
+        for_ms = context.fleet.eject(engine.name, now_ms)
         hit = [s for s in self._streams if engine.name in s.path.names]
         context.tallies.count("engines_lost", ended=str(ended).lower())
         context.log.write(
--- a/caroblug/gateway/_slowness.py
+++ b/caroblug/gateway/_slowness.py
@@ -56,7 +56,7 @@
     def look(self) -> None:
         """Looks once, and asks engines that seem slow."""
         now_ms = self._context.clock.now_ms()
-        for name in self._context.fleet.slow_until(now_ms):
+        for name in self._context.fleet.slow_engines_due(now_ms):
             backend = self._context.fleet.listing.backends.get(name)
             if backend is not None:
                 gevent.spawn(self._ask, name, backend.address)
@@ -92,7 +92,9 @@
             return
         now_ms = context.clock.now_ms()
         slow = report.pace >= SLOW_PACE
-        if context.fleet.on_pace(name, report.pace if slow else 1.0, now_ms):
+        if context.fleet.on_slowdown(
+            name, report.pace if slow else 1.0, now_ms
+        ):
             context.log.write(
                 "backend_server.pace",
                 backend_server=name,
--- a/caroblug/gateway/_stream_run.py
+++ b/caroblug/gateway/_stream_run.py
@@ -129,8 +129,8 @@
             return self._on_turned_away(head, facts)
         if facts.request_id != pending.caller.id or not facts.genuine:
             return RunResult(RunEnd.LOST, f"unproved answer {head.status}")
-        self._context.fleet.on_answer(first, None, 0, state.now_ms)
-        self._context.fleet.on_room(state.path.names)
+        self._context.fleet.on_response(first, None, 0, state.now_ms)
+        self._context.fleet.on_accepted(state.path.names)
         if head.status != 200:
             return self._read_failure(head, facts)
         return self._read_events(head, facts)
--- a/caroblug/gateway/_stream_state.py
+++ b/caroblug/gateway/_stream_state.py
@@ -66,12 +66,12 @@
         self._reading = path.names
         self.context.fleet.loads.begin_reading(self._reading)
         self.exchange = Exchange(path.first.address)
-        self.context.fleet.enter(path.first.name)
+        self.context.fleet.begin_request(path.first.name)
 
     def end_run(self) -> None:
         """Ends a run, however it went."""
         self.exchange.close()
-        self.context.fleet.leave(self.path.first.name)
+        self.context.fleet.end_request(self.path.first.name)
         self.end_reading()
         self._leave_path()
 
@@ -89,7 +89,7 @@
     def avoid_engine(self, name: str, reason: str) -> None:
         """Lets this stream, and for a while all others, avoid an engine."""
         self.avoid.add(name)
-        for_ms = self.context.fleet.avoid(name, self.now_ms)
+        for_ms = self.context.fleet.eject(name, self.now_ms)
         self.context.log.write(
             "backend_server.avoided",
             backend_server=name,
--- a/caroblug/gateway/_watches.py
+++ b/caroblug/gateway/_watches.py
@@ -228,11 +228,16 @@
         while True:
             self._renew_wait()
             now_ms = self._context.clock.now_ms()
-            if fleet.known and fleet.age_ms(now_ms) < self._due_age_ms():
+            if (
+                fleet.has_listing
+                and fleet.listing_age_ms(now_ms) < self._due_age_ms()
+            ):
                 gevent.sleep(_LIST_LOOK_S)
                 continue
             if not self._read_list():
-                pause_ms = _LIST_AGAIN_MS if fleet.known else _START_LIST_MS
+                pause_ms = (
+                    _LIST_AGAIN_MS if fleet.has_listing else _START_LIST_MS
+                )
                 gevent.sleep(pause_ms / 1000)
 
     def _due_age_ms(self) -> float:
@@ -258,7 +263,7 @@
         if listing.ignored != self._ignored:
             self._ignored = listing.ignored
             context.log.write("backends.ignored", records=listing.ignored)
-        context.fleet.take_listing(listing, asked_ms)
+        context.fleet.update_listing(listing, asked_ms)
         if was_lost:
             self._on_store_back()
         context.tallies.gauge("backends", len(listing.backends))
--- a/caroblug/gateway/tests/test_fleet.py
+++ b/caroblug/gateway/tests/test_fleet.py
@@ -32,7 +32,7 @@
 
 def make_fleet(*backends, end=1, now_ms=0):
     fleet = Fleet("a", random.Random(1))
-    fleet.take_listing(list_of(*backends, end=end), now_ms)
+    fleet.update_listing(list_of(*backends, end=end), now_ms)
     return fleet
 
 
@@ -55,7 +55,7 @@
     # Guards against requests to a backend server that only an older list names.
     fleet = make_fleet(make_desk("d1"), end=5)
 
-    assert not fleet.take_listing(list_of(make_desk("d0"), end=4), 10)
+    assert not fleet.update_listing(list_of(make_desk("d0"), end=4), 10)
     assert fleet.choose_backend(DESK, set(), 10).name == "d1"
 
 
@@ -64,20 +64,20 @@
     digest = fleet.listing.digest
 
     fleet.confirm_listing("other", 9, 800)
-    assert fleet.age_ms(1000) == 1000
+    assert fleet.listing_age_ms(1000) == 1000
     fleet.confirm_listing(digest, 9, 800)
-    assert fleet.age_ms(1000) == 200
+    assert fleet.listing_age_ms(1000) == 200
 
 
 def test_failed_engine_is_on_no_path_until_it_answers():
     fleet = make_fleet(make_engine("e1", 0, 80), make_engine("e2", 0, 80))
-    fleet.avoid("e1", 0)
+    fleet.eject("e1", 0)
 
     assert names(fleet.choose_engines(POOL, 10)) == ("e2",)
     assert names(fleet.choose_engines(POOL, 10_000)) == ("e2",)
-    assert [b.name for b in fleet.failing(10_000)] == ["e1"]
-    fleet.on_answer("e1", None, 0, 10_001)
-    fleet.avoid("e2", 10_001)
+    assert [b.name for b in fleet.due_for_probe(10_000)] == ["e1"]
+    fleet.on_response("e1", None, 0, 10_001)
+    fleet.eject("e2", 10_001)
     assert names(fleet.choose_engines(POOL, 10_002)) == ("e1",)
 
 
@@ -96,14 +96,14 @@
     fleet.on_report("e1", LayerRange(0, 0), 500)
 
     assert names(fleet.choose_engines(POOL, 600)) == NoPath(0)
-    fleet.take_listing(list_of(make_engine("e1", 0, 80), end=2), 1000)
+    fleet.update_listing(list_of(make_engine("e1", 0, 80), end=2), 1000)
     assert names(fleet.choose_engines(POOL, 1001)) == NoPath(0)
 
 
 def test_list_that_tells_other_layers_goes_before_an_older_word():
     fleet = make_fleet(make_engine("e1", 0, 40), now_ms=0)
     fleet.on_report("e1", LayerRange(0, 0), 500)
-    fleet.take_listing(list_of(make_engine("e1", 0, 80), end=2), 900)
+    fleet.update_listing(list_of(make_engine("e1", 0, 80), end=2), 900)
 
     assert names(fleet.choose_engines(POOL, 901)) == ("e1",)
 
@@ -114,7 +114,7 @@
     fleet.on_leaving("e1", 5000)
 
     assert names(fleet.choose_engines(POOL, 5001)) == NoPath(0)
-    fleet.take_listing(list_of(make_engine("e1", 0, 80), end=2), 9000)
+    fleet.update_listing(list_of(make_engine("e1", 0, 80), end=2), 9000)
     assert names(fleet.choose_engines(POOL, 9001)) == ("e1",)
 
 
@@ -130,16 +130,16 @@
 
 def test_what_was_met_is_forgotten_after_the_server_has_gone():
     fleet = make_fleet(make_desk("d1"))
-    fleet.avoid("d1", 0)
-    fleet.take_listing(list_of(make_desk("d2"), end=2), 60_000)
-    fleet.take_listing(list_of(make_desk("d1"), end=3), 60_001)
+    fleet.eject("d1", 0)
+    fleet.update_listing(list_of(make_desk("d2"), end=2), 60_000)
+    fleet.update_listing(list_of(make_desk("d1"), end=3), 60_001)
 
-    assert not fleet.failing(60_002)
+    assert not fleet.due_for_probe(60_002)
 
 
 def test_least_busy_desk_is_chosen():
     fleet = make_fleet(make_desk("d1"), make_desk("d2"))
-    fleet.on_answer("d1", 4, 4, 0)
+    fleet.on_response("d1", 4, 4, 0)
 
     assert fleet.choose_backend(DESK, set(), 10).name == "d2"
     assert fleet.choose_backend(DESK, {"d2"}, 10).name == "d1"
@@ -151,7 +151,7 @@
     fleet = make_fleet(make_engine("x", 0, 80))
     asked = 0
     for now_ms in range(0, 6000, 50):
-        if not fleet.avoided("x", now_ms):
+        if not fleet.is_excluded("x", now_ms):
             fleet.on_full("x", now_ms)
             asked += 1
 
@@ -162,11 +162,11 @@
     fleet = make_fleet(make_engine("x", 0, 80))
     fleet.on_full("x", 0)
     fleet.on_full("x", 400)
-    fleet.on_room(("x",))
+    fleet.on_accepted(("x",))
     fleet.on_full("x", 2000)
 
-    assert fleet.avoided("x", 2200)
-    assert not fleet.avoided("x", 2400)
+    assert fleet.is_excluded("x", 2200)
+    assert not fleet.is_excluded("x", 2400)
 
 
 def test_engine_that_has_loaded_is_used_at_once():
--- a/caroblug/gateway/tests/test_liveness.py
+++ b/caroblug/gateway/tests/test_liveness.py
@@ -88,8 +88,8 @@
     site.look()
 
     assert all(s.lost == [("y", False)] for s in streams)
-    assert site.context.fleet.avoided("y", site.clock.now_ms())
-    assert not site.context.fleet.avoided("x", site.clock.now_ms())
+    assert site.context.fleet.is_excluded("y", site.clock.now_ms())
+    assert not site.context.fleet.is_excluded("x", site.clock.now_ms())
 
 
 def test_engine_whose_other_streams_go_on_is_not_asked():
@@ -223,7 +223,7 @@
     site = Site(FakeStream(100_000, "x", "y"))
     site.running.on_engine_lost(make_engine("y"), ended=True)
 
-    site.context.fleet.on_answer("y", None, 0, site.clock.now_ms())
+    site.context.fleet.on_response("y", None, 0, site.clock.now_ms())
 
     assert not site.context.fleet.has_ended("y")
     assert not site.context.fleet.is_failing("y")
--- a/caroblug/gateway/tests/test_placement.py
+++ b/caroblug/gateway/tests/test_placement.py
@@ -21,7 +21,7 @@
 
 
 def with_engines(context, *engines):
-    context.fleet.take_listing(list_of(*engines), context.clock.now_ms())
+    context.fleet.update_listing(list_of(*engines), context.clock.now_ms())
     for engine in engines:
         context.dialect.add(engine.address, engine.holds)
 
@@ -127,7 +127,7 @@
     context, _, _, placement = make_placement()
     engine = make_engine("e1", 0, 0)
     with_engines(context, engine)
-    context.fleet.take_listing(list_of(engine, end=2), context.clock.now_ms())
+    context.fleet.update_listing(list_of(engine, end=2), context.clock.now_ms())
     context.dialect.add(engine.address, LayerRange(0, 16), orders=1)
     placement.renew()
     placement.plan_once()
@@ -219,7 +219,7 @@
         make_engine("spare", 0, 16),
     )
     placement.renew()
-    context.fleet.avoid("y", context.clock.now_ms())
+    context.fleet.eject("y", context.clock.now_ms())
 
     placement.plan_once()
 
@@ -243,7 +243,7 @@
         ),
     )
     placement.renew()
-    context.fleet.avoid("y1", context.clock.now_ms())
+    context.fleet.eject("y1", context.clock.now_ms())
 
     placement.plan_once()
 
@@ -255,7 +255,7 @@
     context, _, _, placement = make_placement()
     with_a_chain_and_a_spare(context)
     placement.renew()
-    context.fleet.on_pace("e2", 12.0, context.clock.now_ms())
+    context.fleet.on_slowdown("e2", 12.0, context.clock.now_ms())
 
     placement.plan_once()
 
@@ -267,7 +267,7 @@
     context, _, _, placement = make_placement()
     with_a_chain_and_a_spare(context)
     placement.renew()
-    context.fleet.on_pace("e2", 2.0, context.clock.now_ms())
+    context.fleet.on_slowdown("e2", 2.0, context.clock.now_ms())
 
     placement.plan_once()
 
@@ -339,7 +339,7 @@
     placement.plan_once()
 
     now_ms = context.clock.now_ms()
-    assert list(context.fleet.uncertain(now_ms)) == ["p"]
+    assert list(context.fleet.unanswered_orders(now_ms)) == ["p"]
 
 
 def test_engine_with_an_unanswered_order_is_not_relied_on():
--- a/caroblug/gateway/tests/test_placement_rounds.py
+++ b/caroblug/gateway/tests/test_placement_rounds.py
@@ -146,7 +146,7 @@
     gateways = [make_placement(name, clock) for name in ("g1", "g2")]
     for context, registry, _, _ in gateways:
         context.dialect = fleet
-        context.fleet.take_listing(fleet.listing(1), clock.now_ms())
+        context.fleet.update_listing(fleet.listing(1), clock.now_ms())
         registry.tenure = Tenure(False, 2)
     clock.advance(2000)
     holder = 0
@@ -164,6 +164,6 @@
         for context, _, _, _ in gateways:
             if rng.random() < 0.4:
                 listing = fleet.listing(turn + 2)
-                context.fleet.take_listing(listing, clock.now_ms())
+                context.fleet.update_listing(listing, clock.now_ms())
 
     assert fleet.unserved == []
--- a/caroblug/gateway/tests/test_slowness.py
+++ b/caroblug/gateway/tests/test_slowness.py
@@ -30,7 +30,7 @@
         self.clock = ManualClock(100_000)
         self.context = make_context(clock=self.clock)
         engines = [make_engine("x", 0, 80), make_engine("y", 0, 80)]
-        self.context.fleet.take_listing(list_of(*engines), 100_000)
+        self.context.fleet.update_listing(list_of(*engines), 100_000)
         for engine in engines:
             self.context.dialect.add(engine.address, engine.holds)
         self.addresses = {e.name: e.address for e in engines}
@@ -122,11 +122,11 @@
     finder.look()
     other.clock.advance(finder.clock.now_ms() - other.clock.now_ms())
 
-    for name, (pace, age_ms) in finder.context.fleet.recent_paces(
+    for name, (pace, age_ms) in finder.context.fleet.recent_slowdowns(
         finder.clock.now_ms()
     ).items():
         told_ms = other.clock.now_ms() - age_ms
-        other.context.fleet.on_pace(name, pace, told_ms)
+        other.context.fleet.on_slowdown(name, pace, told_ms)
 
     assert other.paths() == {"y"}
 
@@ -136,8 +136,8 @@
     site = Site()
     fleet = site.context.fleet
     now_ms = site.clock.now_ms()
-    fleet.on_pace("x", 1.0, now_ms)
+    fleet.on_slowdown("x", 1.0, now_ms)
 
-    fleet.on_pace("x", 8.0, now_ms - 500)
+    fleet.on_slowdown("x", 8.0, now_ms - 500)
 
     assert site.paths() == {"x", "y"}
--- a/caroblug/gateway/tests/test_watches.py
+++ b/caroblug/gateway/tests/test_watches.py
@@ -152,7 +152,7 @@
     registry.read_backends = lambda: make_listing({}, 2, 0, "")
 
     assert watches._read_list()
-    assert context.fleet.known
+    assert context.fleet.has_listing
 
 
 def test_list_that_hangs_counts_as_unavailable(watched):
