--- a/caroblug/gateway/_calls.py
+++ b/caroblug/gateway/_calls.py
@@ -7,7 +7,7 @@
 from caroblug.gateway._connecting import CONNECT_S
 from caroblug.gateway._context import Context
 from caroblug.gateway._crashes import Crashes
-from caroblug.gateway._fleet import seems_gone
+from caroblug.gateway._fleet import warrants_ejection
 from caroblug.gateway._http_client import Exchange
 from caroblug.gateway._interfaces import (
     AnswerFacts,
@@ -174,7 +174,7 @@
         self, pending: Pending, backend: BackendServer, broken: Broken
     ) -> Tried:
         context = self._context
-        if seems_gone(broken.failure):
+        if warrants_ejection(broken.failure):
             for_ms = context.fleet.eject(backend.name, context.clock.now_ms())
             context.log.write(
                 "backend_server.avoided",
--- a/caroblug/gateway/_fleet.py
+++ b/caroblug/gateway/_fleet.py
@@ -511,7 +511,7 @@
         return load + 0.1 * away + self._rng.random() * 0.05
 
 
-def seems_gone(failure: Failure) -> bool:
+def warrants_ejection(failure: Failure) -> bool:
     """Returns whether a failure says that the backend server may be gone."""
     return failure in (
         Failure.CONNECT,
@@ -522,7 +522,7 @@
     )
 
 
-def model_of(service: Service) -> ModelShape:
+def require_model(service: Service) -> ModelShape:
     """Returns a service's model; the service must have one."""
     if service.model is None:
         raise AssertionError(f"service {service.name} has no model")
--- a/caroblug/gateway/_placement.py
+++ b/caroblug/gateway/_placement.py
@@ -18,7 +18,7 @@
     plan_moves,
 )
 from caroblug.gateway._context import Context
-from caroblug.gateway._fleet import model_of
+from caroblug.gateway._fleet import require_model
 from caroblug.gateway._interfaces import (
     EngineReport,
     OrderOutcome,
@@ -186,7 +186,7 @@
         engines = self._engines_to_count_on(service, now_ms)
         if self._settling(engines, now_ms):
             return
-        moves = plan_moves(engines, model_of(service), self._room(engines))
+        moves = plan_moves(engines, require_model(service), self._room(engines))
         for start in range(0, len(moves), _AT_ONCE):
             batch = moves[start : start + _AT_ONCE]
             jobs = [gevent.spawn(self._move, service, move) for move in batch]
@@ -212,7 +212,7 @@
             and fleet.slowdown(e.name) < _TOO_SLOW
         ]
         sound = [e for e in engines if not fleet.is_failing(e.name)]
-        return engines if covers(sound, model_of(service)) else sound
+        return engines if covers(sound, require_model(service)) else sound
 
     def _room(self, engines: list[Engine]) -> int:
         """Returns the requests that a chain keeps room for.
@@ -250,8 +250,10 @@
                 reason=report.message,
             )
             return
-        layers = model_of(service).layers
-        load_ms = model_of(service).load_s * 1000 * len(move.target) / layers
+        layers = require_model(service).layers
+        load_ms = (
+            require_model(service).load_s * 1000 * len(move.target) / layers
+        )
         if report.holds == move.target:
             context.fleet.on_report(
                 engine.name, report.holds, context.clock.now_ms()
