--- a/caroblug/gateway/_context.py
+++ b/caroblug/gateway/_context.py
@@ -31,7 +31,7 @@
         configuration: The newest configuration; None before the first.
         configuration_ms: When it was taken.
         raw_configuration: The same as the operator wrote it.
-        ask_about: Engines that are to be asked about themselves.
+        engines_to_probe: Engines that are to be asked about themselves.
     """
 
     settings: GatewaySettings
@@ -46,7 +46,7 @@
     configuration: Configuration | None = None
     configuration_ms: int = 0
     raw_configuration: str = ""
-    ask_about: set[str] = attrs.field(factory=set)
+    engines_to_probe: set[str] = attrs.field(factory=set)
 
     def limits(self) -> RequestLimits:
         """Returns what callers may send."""
--- a/caroblug/gateway/_gateway.py
+++ b/caroblug/gateway/_gateway.py
@@ -27,12 +27,12 @@
     Pending,
 )
 from caroblug.gateway._placement import Placement
-from caroblug.gateway._rechecks import Rechecks
 from caroblug.gateway._repeats import LEND_PATH, Repeats
 from caroblug.gateway._running import RunningStreams
 from caroblug.gateway._settings import GatewaySettings, SettingsProblem
 from caroblug.gateway._slowness import Slowness
 from caroblug.gateway._streams import Streams
+from caroblug.gateway._suspect_probes import SuspectProbes
 from caroblug.gateway._tallies import Tallies
 from caroblug.gateway._watches import Watches
 from caroblug.utils import BoottimeClock
@@ -87,7 +87,7 @@
         self._peers = Peers(context, registry, self._crashes)
         self._watches = Watches(context, registry, self._peers)
         self._placement = Placement(context, registry, self._peers)
-        self._rechecks = Rechecks(context)
+        self._suspect_probes = SuspectProbes(context)
         self._answers = Answers(context)
         self._repeats = Repeats(context, self._peers)
         self._peers.calls.serve(LEND_PATH, self._repeats.answer_loan)
@@ -138,7 +138,7 @@
             self._placement.run_plan,
             self._peers.run_members,
             self._peers.run_exchange,
-            self._rechecks.run,
+            self._suspect_probes.run,
             self._liveness.run,
             self._slowness.run,
             self._follow_settings,
--- a/caroblug/gateway/_peers.py
+++ b/caroblug/gateway/_peers.py
@@ -437,7 +437,7 @@
 
         Its word alone isn't believed: it may itself be cut off.
         """
-        self._context.ask_about.update(str(name) for name in names)
+        self._context.engines_to_probe.update(str(name) for name in names)
 
     def is_first_at_home(self) -> bool:
         """Returns whether this is the first reader of its data centre."""
--- a/caroblug/gateway/_placement.py
+++ b/caroblug/gateway/_placement.py
@@ -306,7 +306,7 @@
             report = self._context.dialect.read_report(keeper.address)
             now_ms = self._context.clock.now_ms()
             if isinstance(report, Unavailable):
-                self._context.ask_about.add(keeper.name)
+                self._context.engines_to_probe.add(keeper.name)
                 reason = report.message
             elif report.busy:
                 fleet.on_busy(keeper.name, now_ms)
--- a/caroblug/gateway/_stream_run.py
+++ b/caroblug/gateway/_stream_run.py
@@ -223,7 +223,7 @@
             state.avoid.add(name)
         fleet.on_full(name, state.now_ms)
         if at_fault is not None:
-            self._context.ask_about.add(at_fault.name)
+            self._context.engines_to_probe.add(at_fault.name)
         return RunResult(RunEnd.TURNED_AWAY, f"{reason} by {name}")
 
     def _on_quiet(self, look_s: float) -> RunResult | None:
@@ -277,7 +277,7 @@
         for engine in dead:
             # It may be dead or have given up its layers: its report tells.
             state.avoid.add(engine.name)
-            self._context.ask_about.add(engine.name)
+            self._context.engines_to_probe.add(engine.name)
             self._crashes.on_lost(state.pending, engine.name, engine.address)
         if not dead or dead[0].name == state.path.first.name:
             return RunResult(RunEnd.LOST, "stalled")
--- a/caroblug/gateway/_rechecks.py
+++ b/caroblug/gateway/_suspect_probes.py
@@ -15,7 +15,7 @@
 """Shortest time between two looks at an engine that did not fail here."""
 
 
-class Rechecks:
+class SuspectProbes:
     """Asks engines that failed for a report before they get work again.
 
     Guards against requests as probes: each request sent to an engine that is
@@ -37,9 +37,9 @@
             gevent.sleep(_EVERY_S)
             now_ms = self._context.clock.now_ms()
             for backend in self._context.fleet.due_for_probe(now_ms):
-                self.ask(backend)
-            names = set(self._context.ask_about)
-            self._context.ask_about.clear()
+                self.probe(backend)
+            names = set(self._context.engines_to_probe)
+            self._context.engines_to_probe.clear()
             self._look_into(names, now_ms)
 
     def _look_into(self, names: set[str], now_ms: int) -> None:
@@ -50,9 +50,9 @@
             if backend is None or backend.holds is None:
                 continue
             if self._asked.allows(name, now_ms):
-                self.ask(backend)
+                self.probe(backend)
 
-    def ask(self, backend: BackendServer) -> None:
+    def probe(self, backend: BackendServer) -> None:
         """Asks one backend server, unless it is being asked."""
         if backend.name in self._asking:
             return
