--- a/caroblug/gateway/_gateway.py
+++ b/caroblug/gateway/_gateway.py
@@ -17,7 +17,7 @@
 from caroblug.gateway._fleet import Fleet
 from caroblug.gateway._http_server import CallerServer, Reply
 from caroblug.gateway._interfaces import CallerRequest, Dialect, Registry
-from caroblug.gateway._liveness import Liveness
+from caroblug.gateway._liveness import LivenessMonitor
 from caroblug.gateway._peers import Peers
 from caroblug.gateway._pending import (
     LEAVING_MS,
@@ -26,11 +26,11 @@
     Answers,
     Pending,
 )
-from caroblug.gateway._placement import Placement
+from caroblug.gateway._placement import PlacementController
 from caroblug.gateway._repeats import LEND_PATH, Repeats
 from caroblug.gateway._running import RunningStreams
 from caroblug.gateway._settings import GatewaySettings, SettingsProblem
-from caroblug.gateway._slowness import Slowness
+from caroblug.gateway._slowness import SlownessDetector
 from caroblug.gateway._streams import Streams
 from caroblug.gateway._suspect_probes import SuspectProbes
 from caroblug.gateway._tallies import Tallies
@@ -86,15 +86,15 @@
         self._crashes = Crashes(context.clock, context.fleet)
         self._peers = Peers(context, registry, self._crashes)
         self._watches = Watches(context, registry, self._peers)
-        self._placement = Placement(context, registry, self._peers)
+        self._placement = PlacementController(context, registry, self._peers)
         self._suspect_probes = SuspectProbes(context)
         self._answers = Answers(context)
         self._repeats = Repeats(context, self._peers)
         self._peers.calls.serve(LEND_PATH, self._repeats.answer_loan)
         self._calls = Calls(context, self._crashes, self._repeats)
         self._running = RunningStreams(context)
-        self._liveness = Liveness(context, self._running)
-        self._slowness = Slowness(context, self._running)
+        self._liveness = LivenessMonitor(context, self._running)
+        self._slowness = SlownessDetector(context, self._running)
         self._streams = Streams(
             context, self._crashes, self._running, self._repeats
         )
--- a/caroblug/gateway/_liveness.py
+++ b/caroblug/gateway/_liveness.py
@@ -65,7 +65,7 @@
     return problem.failure if problem is not None else None
 
 
-class Liveness:
+class LivenessMonitor:
     """Watches the engines on the paths of running streams.
 
     Args:
--- a/caroblug/gateway/_pending.py
+++ b/caroblug/gateway/_pending.py
@@ -7,7 +7,7 @@
 from caroblug.gateway._context import Context
 from caroblug.gateway._http_server import Reply
 from caroblug.gateway._interfaces import CallerRequest
-from caroblug.gateway._timeliness import Timeliness
+from caroblug.gateway._stream_latency import StreamLatency
 
 NO_ROOM_MS = 700
 """Mean time after which a request that found no room is asked to come back:
@@ -42,7 +42,7 @@
         sends: Times it was sent.
         ran: Times it may have run.
         tried: Backend servers that it was sent to.
-        timeliness: When events came; None if it is no stream.
+        stream_latency: When events came; None if it is no stream.
     """
 
     request: RawRequest
@@ -53,7 +53,7 @@
     sends: int = 0
     ran: int = 0
     tried: set[str] = attrs.field(factory=set)
-    timeliness: Timeliness | None = None
+    stream_latency: StreamLatency | None = None
 
     def left_ms(self, now_ms: int) -> int:
         """Returns the time left, in ms."""
@@ -157,13 +157,13 @@
 
 def _describe(pending: Pending) -> dict[str, str | int | None]:
     """Returns what a line says of the times of a stream's events."""
-    times = pending.timeliness
+    times = pending.stream_latency
     if times is None:
         return {}
     return {
         "first_ms": times.first_ms,
         "pause_ms": times.pause_ms,
-        "late": times.late_by(pending.admitted.route),
+        "late": times.missed_objective(pending.admitted.route),
         "cause": times.cause,
         "engine": times.engine,
     }
--- a/caroblug/gateway/_placement.py
+++ b/caroblug/gateway/_placement.py
@@ -60,7 +60,7 @@
 """How often an engine that loads is asked; a load takes one to two seconds."""
 
 
-class Placement:
+class PlacementController:
     """Keeps the lease, and places layers while it is held.
 
     Args:
--- a/caroblug/gateway/_slowness.py
+++ b/caroblug/gateway/_slowness.py
@@ -33,7 +33,7 @@
 the difference between two kinds of engines."""
 
 
-class Slowness:
+class SlownessDetector:
     """Looks for slow engines on the paths of running streams.
 
     Args:
--- a/caroblug/gateway/_timeliness.py
+++ b/caroblug/gateway/_stream_latency.py
@@ -6,7 +6,7 @@
 
 
 @attrs.define
-class Timeliness:
+class StreamLatency:
     """Times of one stream's events, over all its runs.
 
     Attributes:
@@ -26,7 +26,7 @@
     _event_ms: int = 0
     _incident: tuple[str, str] = ("", "")
 
-    def note(self, cause: str, engine: str = "") -> None:
+    def record_incident(self, cause: str, engine: str = "") -> None:
         """Notes what may hold up the next event."""
         self._incident = (cause, engine)
 
@@ -42,7 +42,7 @@
         self._event_ms = now_ms
         self._incident = ("", "")
 
-    def late_by(self, route: Route) -> str:
+    def missed_objective(self, route: Route) -> str:
         """Returns which objective of a route was missed; empty if none."""
         if self.first_ms is None:
             return ""
--- a/caroblug/gateway/_stream_repair.py
+++ b/caroblug/gateway/_stream_repair.py
@@ -67,7 +67,7 @@
     def _order_path(self, lost: str, path: Path) -> OrderOutcome:
         state = self._state
         context = state.context
-        state.times.note("path changed", lost)
+        state.times.record_incident("path changed", lost)
         outcome = context.dialect.change_path(
             path.first.address, state.pending.caller.id, path
         )
--- a/caroblug/gateway/_stream_state.py
+++ b/caroblug/gateway/_stream_state.py
@@ -7,7 +7,7 @@
 from caroblug.gateway._events import EventPace, EventSequence
 from caroblug.gateway._http_client import Exchange
 from caroblug.gateway._pending import Pending
-from caroblug.gateway._timeliness import Timeliness
+from caroblug.gateway._stream_latency import StreamLatency
 
 
 @attrs.define
@@ -30,7 +30,7 @@
 
     context: Context
     pending: Pending
-    times: Timeliness
+    times: StreamLatency
     events: EventSequence
     path: Path | None = None
     exchange: Exchange | None = None
@@ -116,8 +116,8 @@
 
 def make_stream_state(context: Context, pending: Pending) -> StreamState:
     """Returns the state of a stream that has not run yet."""
-    times = Timeliness(pending.request.began_ms)
-    pending.timeliness = times
+    times = StreamLatency(pending.request.began_ms)
+    pending.stream_latency = times
     events = EventSequence(_whole(pending.caller.resume_after))
     return StreamState(context, pending, times, events)
 
--- a/caroblug/gateway/_streams.py
+++ b/caroblug/gateway/_streams.py
@@ -181,7 +181,9 @@
         if result.end is RunEnd.WHOLE:
             return
         state = self._state
-        state.times.note(result.reason, state.lost or state.path.first.name)
+        state.times.record_incident(
+            result.reason, state.lost or state.path.first.name
+        )
         state.context.tallies.count("runs_failed", end=result.end.value)
         state.context.log.write(
             "stream.run_failed",
--- a/caroblug/gateway/tests/test_liveness.py
+++ b/caroblug/gateway/tests/test_liveness.py
@@ -8,7 +8,7 @@
 
 from caroblug.core.placement import LayerRange, Path, PathPart
 from caroblug.core.placement.tests.fleets import make_engine
-from caroblug.gateway._liveness import Liveness
+from caroblug.gateway._liveness import LivenessMonitor
 from caroblug.gateway._outcomes import Failure
 from caroblug.gateway._running import RunningStream, RunningStreams
 from caroblug.gateway.tests.fakes import make_context
@@ -61,7 +61,9 @@
         self.streams = streams
         self.answers: dict[str, Failure] = {}
         self.asked: list[str] = []
-        self.liveness = Liveness(self.context, self.running, self._connect)
+        self.liveness = LivenessMonitor(
+            self.context, self.running, self._connect
+        )
         # Watches need sockets; the engines count as watched.
         self.liveness._watch = lambda engine: None
         for stream in streams:
--- a/caroblug/gateway/tests/test_placement.py
+++ b/caroblug/gateway/tests/test_placement.py
@@ -7,7 +7,7 @@
 from caroblug.gateway import OrderOutcome, Tenure, Unavailable
 from caroblug.gateway._crashes import Crashes
 from caroblug.gateway._peers import Peers, TenureState
-from caroblug.gateway._placement import Placement
+from caroblug.gateway._placement import PlacementController
 from caroblug.gateway.tests.fakes import FakeRegistry, make_context
 from caroblug.gateway.tests.test_fleet import list_of, make_engine
 from caroblug.utils import ManualClock
@@ -17,7 +17,12 @@
     context = make_context(name, clock)
     registry = FakeRegistry()
     peers = Peers(context, registry, Crashes(context.clock, context.fleet))
-    return context, registry, peers, Placement(context, registry, peers)
+    return (
+        context,
+        registry,
+        peers,
+        PlacementController(context, registry, peers),
+    )
 
 
 def with_engines(context, *engines):
--- a/caroblug/gateway/tests/test_slowness.py
+++ b/caroblug/gateway/tests/test_slowness.py
@@ -4,7 +4,7 @@
 import gevent
 
 from caroblug.gateway._running import RunningStreams
-from caroblug.gateway._slowness import Slowness
+from caroblug.gateway._slowness import SlownessDetector
 from caroblug.gateway.tests.fakes import make_context
 from caroblug.gateway.tests.test_fleet import POOL, list_of, make_engine
 from caroblug.gateway.tests.test_liveness import FakeStream
@@ -38,7 +38,7 @@
         self.streams = streams
         for stream in streams:
             self.running.add(stream)
-        self.slowness = Slowness(self.context, self.running)
+        self.slowness = SlownessDetector(self.context, self.running)
 
     def say(self, name: str, pace: float) -> None:
         reports = self.context.dialect.reports
