--- a/caroblug/gateway/_gateway.py
+++ b/caroblug/gateway/_gateway.py
@@ -16,7 +16,7 @@
 from caroblug.gateway._fleet import Fleet
 from caroblug.gateway._http_server import HttpServer, Reply
 from caroblug.gateway._interfaces import CallerRequest, Dialect, Registry
-from caroblug.gateway._liveness import Liveness
+from caroblug.gateway._liveness import LivenessMonitor
 from caroblug.gateway._peers import Peers
 from caroblug.gateway._pending_request import (
     LEAVING_RETRY_AFTER_MS,
@@ -25,15 +25,15 @@
     GatewayResponses,
     PendingRequest,
 )
-from caroblug.gateway._placement import Placement
+from caroblug.gateway._placement import PlacementController
 from caroblug.gateway._plain_calls import PlainCallHandler
-from caroblug.gateway._rechecks import Rechecks
 from caroblug.gateway._running_streams import RunningStreams
 from caroblug.gateway._settings import GatewaySettings, SettingsProblem
 from caroblug.gateway._shared_retry_budget import LEND_PATH, SharedRetryBudget
-from caroblug.gateway._slowness import Slowness
+from caroblug.gateway._slowness import SlownessDetector
 from caroblug.gateway._store_watcher import StoreWatcher
 from caroblug.gateway._streams import StreamHandler
+from caroblug.gateway._suspect_probes import SuspectProbes
 from caroblug.gateway._telemetry import Telemetry
 from caroblug.utils import BoottimeClock
 
@@ -86,8 +86,8 @@
         self._crashes = CrashSuspicions(context.clock, context.fleet)
         self._peers = Peers(context, registry, self._crashes)
         self._store_watcher = StoreWatcher(context, registry, self._peers)
-        self._placement = Placement(context, registry, self._peers)
-        self._rechecks = Rechecks(context)
+        self._placement = PlacementController(context, registry, self._peers)
+        self._suspect_probes = SuspectProbes(context)
         self._responses = GatewayResponses(context)
         self._retry_budget = SharedRetryBudget(context, self._peers)
         self._peers.calls.serve(
@@ -97,8 +97,8 @@
             context, self._crashes, self._retry_budget
         )
         self._running = RunningStreams(context)
-        self._liveness = Liveness(context, self._running)
-        self._slowness = Slowness(context, self._running)
+        self._liveness = LivenessMonitor(context, self._running)
+        self._slowness = SlownessDetector(context, self._running)
         self._streams = StreamHandler(
             context, self._crashes, self._running, self._retry_budget
         )
@@ -119,7 +119,7 @@
         """Whether new connections should come here."""
         return (
             self._context.configuration is not None
-            and self._context.fleet.known
+            and self._context.fleet.has_listing
             and not self._leaving.is_set()
         )
 
@@ -142,7 +142,7 @@
             self._placement.run_plan,
             self._peers.run_members,
             self._peers.run_exchange,
-            self._rechecks.run,
+            self._suspect_probes.run,
             self._liveness.run,
             self._slowness.run,
             self._follow_settings,
--- a/caroblug/gateway/_placement.py
+++ b/caroblug/gateway/_placement.py
@@ -18,7 +18,7 @@
     plan_moves,
 )
 from caroblug.gateway._context import Context
-from caroblug.gateway._fleet import model_of
+from caroblug.gateway._fleet import require_model
 from caroblug.gateway._interfaces import (
     EngineReport,
     OrderOutcome,
@@ -60,7 +60,7 @@
 """How often an engine that loads is asked; a load takes one to two seconds."""
 
 
-class Placement:
+class PlacementController:
     """Keeps the lease, and places layers while it is held.
 
     Args:
@@ -188,7 +188,7 @@
         engines = self._engines_to_count_on(service, now_ms)
         if self._settling(engines, now_ms):
             return
-        moves = plan_moves(engines, model_of(service), self._room(engines))
+        moves = plan_moves(engines, require_model(service), self._room(engines))
         for start in range(0, len(moves), _AT_ONCE):
             batch = moves[start : start + _AT_ONCE]
             jobs = [gevent.spawn(self._move, service, move) for move in batch]
@@ -211,10 +211,10 @@
             for e in fleet.engines(service, now_ms)
             if not fleet.has_ended(e.name)
             and fleet.failed_for_ms(e.name, now_ms) < _LOST_MS
-            and fleet.pace(e.name) < _TOO_SLOW
+            and fleet.slowdown(e.name) < _TOO_SLOW
         ]
         sound = [e for e in engines if not fleet.is_failing(e.name)]
-        return engines if covers_model(sound, model_of(service)) else sound
+        return engines if covers_model(sound, require_model(service)) else sound
 
     def _room(self, engines: list[Engine]) -> int:
         """Returns the requests that a chain keeps room for.
@@ -247,15 +247,17 @@
         engine = move.engine
         report = context.dialect.read_report(engine.address)
         if isinstance(report, Unavailable):
-            context.fleet.avoid(engine.name, context.clock.now_ms())
+            context.fleet.eject(engine.name, context.clock.now_ms())
             context.log.write(
                 "placement.no_report",
                 backend_server=engine.name,
                 reason=report.message,
             )
             return
-        layers = model_of(service).layers
-        load_ms = model_of(service).load_s * 1000 * len(move.target) / layers
+        layers = require_model(service).layers
+        load_ms = (
+            require_model(service).load_s * 1000 * len(move.target) / layers
+        )
         if report.holds == move.target:
             context.fleet.on_report(
                 engine.name, report.holds, context.clock.now_ms()
--- a/caroblug/gateway/_plain_calls.py
+++ b/caroblug/gateway/_plain_calls.py
@@ -13,7 +13,7 @@
     ReadTimeout,
     ResponseHead,
 )
-from caroblug.gateway._fleet import seems_gone
+from caroblug.gateway._fleet import warrants_ejection
 from caroblug.gateway._http_client import Exchange
 from caroblug.gateway._interfaces import (
     AnswerMetadata,
@@ -121,12 +121,12 @@
         context = self._context
         pending.tried.add(backend.name)
         exchange = Exchange(backend.address)
-        context.fleet.enter(backend.name)
+        context.fleet.begin_request(backend.name)
         try:
             tried = self._exchange(pending, backend, exchange)
         finally:
             exchange.close()
-            context.fleet.leave(backend.name)
+            context.fleet.end_request(backend.name)
         if tried.next is not Next.ANSWERED:
             context.telemetry.count("tries_failed", reason=tried.reason)
             context.log.write(
@@ -161,7 +161,7 @@
         if isinstance(head, ExchangeFailure):
             return self._on_broken(pending, backend, head)
         facts = context.dialect.decode_answer(head)
-        context.fleet.on_answer(
+        context.fleet.on_response(
             backend.name, facts.running, facts.waiting, clock.now_ms()
         )
         if facts.run is RunState.NOT_RUN:
@@ -188,8 +188,8 @@
         broken: ExchangeFailure,
     ) -> Tried:
         context = self._context
-        if seems_gone(broken.failure):
-            for_ms = context.fleet.avoid(backend.name, context.clock.now_ms())
+        if warrants_ejection(broken.failure):
+            for_ms = context.fleet.eject(backend.name, context.clock.now_ms())
             context.log.write(
                 "backend_server.avoided",
                 backend_server=backend.name,
--- a/caroblug/gateway/_stream_state.py
+++ b/caroblug/gateway/_stream_state.py
@@ -7,7 +7,7 @@
 from caroblug.gateway._events import EventPace, EventSequence
 from caroblug.gateway._http_client import Exchange
 from caroblug.gateway._pending_request import PendingRequest
-from caroblug.gateway._timeliness import Timeliness
+from caroblug.gateway._stream_latency import StreamLatency
 
 
 @attrs.define
@@ -30,7 +30,7 @@
 
     context: Context
     pending: PendingRequest
-    times: Timeliness
+    times: StreamLatency
     events: EventSequence
     path: Path | None = None
     exchange: Exchange | None = None
@@ -66,12 +66,12 @@
         self._reading = path.names
         self.context.fleet.loads.begin_prefill(self._reading)
         self.exchange = Exchange(path.first.address)
-        self.context.fleet.enter(path.first.name)
+        self.context.fleet.begin_request(path.first.name)
 
     def end_run(self) -> None:
         """Ends a run, however it went."""
         self.exchange.close()
-        self.context.fleet.leave(self.path.first.name)
+        self.context.fleet.end_request(self.path.first.name)
         self.end_reading()
         self._leave_path()
 
@@ -89,7 +89,7 @@
     def avoid_engine(self, name: str, reason: str) -> None:
         """Lets this stream, and for a while all others, avoid an engine."""
         self.avoid.add(name)
-        for_ms = self.context.fleet.avoid(name, self.now_ms)
+        for_ms = self.context.fleet.eject(name, self.now_ms)
         self.context.log.write(
             "backend_server.avoided",
             backend_server=name,
@@ -118,8 +118,8 @@
 
 def make_stream_state(context: Context, pending: PendingRequest) -> StreamState:
     """Returns the state of a stream that has not run yet."""
-    times = Timeliness(pending.request.began_ms)
-    pending.timeliness = times
+    times = StreamLatency(pending.request.began_ms)
+    pending.stream_latency = times
     events = EventSequence(_whole(pending.caller.resume_after))
     return StreamState(context, pending, times, events)
 
--- a/caroblug/gateway/tests/test_liveness.py
+++ b/caroblug/gateway/tests/test_liveness.py
@@ -9,7 +9,7 @@
 from caroblug.core.placement import LayerRange, Path, PathPart
 from caroblug.core.placement.tests.fleets import make_engine
 from caroblug.gateway._exchange_results import FailureKind
-from caroblug.gateway._liveness import Liveness
+from caroblug.gateway._liveness import LivenessMonitor
 from caroblug.gateway._running_streams import RunningStream, RunningStreams
 from caroblug.gateway.tests.fakes import make_context
 from caroblug.utils import ManualClock
@@ -61,7 +61,9 @@
         self.streams = streams
         self.answers: dict[str, FailureKind] = {}
         self.asked: list[str] = []
-        self.liveness = Liveness(self.context, self.running, self._connect)
+        self.liveness = LivenessMonitor(
+            self.context, self.running, self._connect
+        )
         # Watches need sockets; the engines count as watched.
         self.liveness._watch = lambda engine: None
         for stream in streams:
@@ -88,8 +90,8 @@
     site.look()
 
     assert all(s.lost == [("y", False)] for s in streams)
-    assert site.context.fleet.avoided("y", site.clock.now_ms())
-    assert not site.context.fleet.avoided("x", site.clock.now_ms())
+    assert site.context.fleet.is_excluded("y", site.clock.now_ms())
+    assert not site.context.fleet.is_excluded("x", site.clock.now_ms())
 
 
 def test_engine_whose_other_streams_go_on_is_not_asked():
@@ -223,7 +225,7 @@
     site = Site(FakeStream(100_000, "x", "y"))
     site.running.on_engine_lost(make_engine("y"), ended=True)
 
-    site.context.fleet.on_answer("y", None, 0, site.clock.now_ms())
+    site.context.fleet.on_response("y", None, 0, site.clock.now_ms())
 
     assert not site.context.fleet.has_ended("y")
     assert not site.context.fleet.is_failing("y")
