--- a/caroblug/entry/_limits.py
+++ b/caroblug/entry/_limits.py
@@ -5,7 +5,12 @@
 
 import gevent
 
-from caroblug.core.limits import AccountRule, Admission, Homes, RetryAfter
+from caroblug.core.limits import (
+    AccountRule,
+    ConcurrencyLimiter,
+    HomeEntries,
+    RetryAfter,
+)
 from caroblug.core.state import Quarantine
 from caroblug.entry._admission import StreamAdmission, rule_of
 from caroblug.entry._loads import EngineLoads
@@ -41,7 +46,7 @@
         metrics: Metrics,
     ) -> None:
         self._bundles = bundles
-        homes = Homes(settings.instance, _SETTLED_MS)
+        homes = HomeEntries(settings.instance, _SETTLED_MS)
         self.loads = EngineLoads(clock, settings.report_age_ms)
         self.shares = ShareClient(
             network, homes, self._account_rule, clock, metrics
@@ -50,7 +55,7 @@
             network, homes, self._quarantine, clock, metrics
         )
         self.admission = StreamAdmission(
-            Admission(settings.streams),
+            ConcurrencyLimiter(settings.streams),
             self.shares,
             self.suspects,
             self.loads,
--- a/caroblug/gateway/_crash_suspicions.py
+++ b/caroblug/gateway/_crash_suspicions.py
@@ -101,7 +101,7 @@
 
     def export(self) -> list[list]:
         """Returns the latest suspicions in the form sent to other gateways."""
-        known = self._suspicions.suspected(self._clock.now_ms())
+        known = self._suspicions.all_live(self._clock.now_ms())
         return [
             [s.fingerprint, s.client_account, s.crash, s.remaining_ms]
             for s in known[-_MAX_SHARED_SUSPICIONS:]
--- a/caroblug/gateway/_gateway.py
+++ b/caroblug/gateway/_gateway.py
@@ -8,7 +8,7 @@
 from gevent import event
 
 from caroblug.core.access import DenialReason, Denied, RouteKind, admit
-from caroblug.core.limits import RepeatWindow, RetryAfter
+from caroblug.core.limits import RetryAfter, WindowedRetryBudget
 from caroblug.gateway._caller_requests import RawRequest
 from caroblug.gateway._context import Context
 from caroblug.gateway._crash_suspicions import CrashSuspicions
@@ -16,7 +16,7 @@
 from caroblug.gateway._fleet import Fleet
 from caroblug.gateway._http_server import HttpServer, Reply
 from caroblug.gateway._interfaces import CallerRequest, Dialect, Registry
-from caroblug.gateway._liveness import Liveness
+from caroblug.gateway._liveness import LivenessMonitor
 from caroblug.gateway._peers import Peers
 from caroblug.gateway._pending_request import (
     LEAVING_RETRY_AFTER_MS,
@@ -25,16 +25,16 @@
     GatewayResponses,
     PendingRequest,
 )
-from caroblug.gateway._placement import Placement
+from caroblug.gateway._placement import PlacementController
 from caroblug.gateway._plain_calls import PlainCallHandler
-from caroblug.gateway._rechecks import Rechecks
 from caroblug.gateway._running_streams import RunningStreams
 from caroblug.gateway._settings import GatewaySettings, SettingsProblem
 from caroblug.gateway._shared_retry_budget import LEND_PATH, SharedRetryBudget
-from caroblug.gateway._slowness import Slowness
+from caroblug.gateway._slowness import SlownessDetector
+from caroblug.gateway._store_watcher import StoreWatcher
 from caroblug.gateway._streams import StreamHandler
-from caroblug.gateway._tallies import Tallies
-from caroblug.gateway._watches import Watches
+from caroblug.gateway._suspect_probes import SuspectProbes
+from caroblug.gateway._telemetry import Telemetry
 from caroblug.utils import BoottimeClock
 
 _DENIALS = {
@@ -85,9 +85,9 @@
         self._reload = reload
         self._crashes = CrashSuspicions(context.clock, context.fleet)
         self._peers = Peers(context, registry, self._crashes)
-        self._watches = Watches(context, registry, self._peers)
-        self._placement = Placement(context, registry, self._peers)
-        self._rechecks = Rechecks(context)
+        self._store_watcher = StoreWatcher(context, registry, self._peers)
+        self._placement = PlacementController(context, registry, self._peers)
+        self._suspect_probes = SuspectProbes(context)
         self._responses = GatewayResponses(context)
         self._retry_budget = SharedRetryBudget(context, self._peers)
         self._peers.calls.serve(
@@ -97,8 +97,8 @@
             context, self._crashes, self._retry_budget
         )
         self._running = RunningStreams(context)
-        self._liveness = Liveness(context, self._running)
-        self._slowness = Slowness(context, self._running)
+        self._liveness = LivenessMonitor(context, self._running)
+        self._slowness = SlownessDetector(context, self._running)
         self._streams = StreamHandler(
             context, self._crashes, self._running, self._retry_budget
         )
@@ -119,7 +119,7 @@
         """Whether new connections should come here."""
         return (
             self._context.configuration is not None
-            and self._context.fleet.known
+            and self._context.fleet.has_listing
             and not self._leaving.is_set()
         )
 
@@ -136,13 +136,13 @@
         self._ready.start()
         self._peer_calls.start()
         for loop in (
-            self._watches.run_configuration,
-            self._watches.run_list,
+            self._store_watcher.run_configuration,
+            self._store_watcher.run_list,
             self._placement.run_lease,
             self._placement.run_plan,
             self._peers.run_members,
             self._peers.run_exchange,
-            self._rechecks.run,
+            self._suspect_probes.run,
             self._liveness.run,
             self._slowness.run,
             self._follow_settings,
@@ -188,7 +188,7 @@
             return
         context.log.write("settings.taken", settings=str(settings))
         context.settings = settings
-        context.repeats.set_bound(
+        context.retry_budget.set_bound(
             settings.retry_ratio, settings.retry_extra, settings.retry_window_ms
         )
 
@@ -288,7 +288,7 @@
         if status == 503:
             after_ms = context.retry_after.ms(UNREADY_RETRY_AFTER_MS)
         known = context.configuration
-        context.tallies.count("denied", status=str(status), reason=reason)
+        context.telemetry.count("denied", status=str(status), reason=reason)
         context.log.write(
             "request.denied",
             request=caller.id,
@@ -309,7 +309,7 @@
     def _answer_metrics(self, request: RawRequest, reply: Reply) -> None:
         del request
         kind = ("Content-Type", "text/plain; version=0.0.4")
-        reply.send(200, [kind], self._context.tallies.expose())
+        reply.send(200, [kind], self._context.telemetry.expose())
 
 
 def make_gateway(
@@ -334,13 +334,13 @@
         rng=rng,
         dialect=dialect,
         fleet=Fleet(settings.data_centre, rng),
-        repeats=RepeatWindow(
+        retry_budget=WindowedRetryBudget(
             settings.retry_ratio,
             settings.retry_extra,
             settings.retry_window_ms,
         ),
         retry_after=RetryAfter(rng),
         log=DecisionLog(settings.instance, clock),
-        tallies=Tallies(),
+        telemetry=Telemetry(),
     )
     return Gateway(context, registry, reload)
--- a/caroblug/gateway/_pending_request.py
+++ b/caroblug/gateway/_pending_request.py
@@ -7,7 +7,7 @@
 from caroblug.gateway._context import Context
 from caroblug.gateway._http_server import Reply
 from caroblug.gateway._interfaces import CallerRequest
-from caroblug.gateway._timeliness import Timeliness
+from caroblug.gateway._stream_latency import StreamLatency
 
 NO_CAPACITY_RETRY_AFTER_MS = 700
 """Mean retry delay sent with a refusal for lack of capacity: a third of the
@@ -44,7 +44,7 @@
         sends: Number of times it was sent.
         ran: Number of times it may have run.
         tried: Names of the backend servers that it was sent to.
-        timeliness: Times of the stream's events; None for a plain call.
+        stream_latency: Times of the stream's events; None for a plain call.
     """
 
     request: RawRequest
@@ -55,7 +55,7 @@
     sends: int = 0
     ran: int = 0
     tried: set[str] = attrs.field(factory=set)
-    timeliness: Timeliness | None = None
+    stream_latency: StreamLatency | None = None
 
     def left_ms(self, now_ms: int) -> int:
         """Returns the time until the deadline, in ms."""
@@ -64,7 +64,7 @@
     def on_send(self, context: Context) -> None:
         """Counts a send; the first one adds to the retry budget."""
         if not self.sends:
-            context.repeats.on_first(
+            context.retry_budget.on_first_send(
                 self.admitted.service.name, context.clock.now_ms()
             )
         self.sends += 1
@@ -149,10 +149,10 @@
         took_ms = now_ms - pending.request.began_ms
         kind = pending.admitted.route.kind.value
         good = 200 <= status < 500 and not cut
-        context.tallies.count(
+        context.telemetry.count(
             "requests", kind=kind, status=str(status), reason=reason
         )
-        context.tallies.record_ms("request", took_ms, kind=kind)
+        context.telemetry.record_ms("request", took_ms, kind=kind)
         context.log.write(
             "request" if good else "request.failed",
             request=pending.caller.id,
@@ -166,20 +166,20 @@
             ran=pending.ran,
             tried=sorted(pending.tried),
             configuration=pending.admitted.version,
-            backends_age_ms=context.fleet.age_ms(now_ms),
+            backends_age_ms=context.fleet.listing_age_ms(now_ms),
             **_timing_fields(pending),
         )
 
 
 def _timing_fields(pending: PendingRequest) -> dict[str, str | int | None]:
     """Returns the log fields about the timing of a stream's events."""
-    timeliness = pending.timeliness
+    timeliness = pending.stream_latency
     if timeliness is None:
         return {}
     return {
         "first_ms": timeliness.first_ms,
         "pause_ms": timeliness.pause_ms,
-        "late": timeliness.late_by(pending.admitted.route),
+        "late": timeliness.missed_objective(pending.admitted.route),
         "cause": timeliness.cause,
         "engine": timeliness.engine,
     }
--- a/caroblug/gateway/_plain_calls.py
+++ b/caroblug/gateway/_plain_calls.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from caroblug.gateway._connecting import CONNECT_S
+from caroblug.gateway._connect_attempts import CONNECT_TIMEOUT_S
 from caroblug.gateway._context import Context
 from caroblug.gateway._crash_suspicions import CrashSuspicions
 from caroblug.gateway._exchange_results import (
@@ -13,13 +13,13 @@
     ReadTimeout,
     ResponseHead,
 )
-from caroblug.gateway._fleet import seems_gone
+from caroblug.gateway._fleet import warrants_ejection
 from caroblug.gateway._http_client import Exchange
 from caroblug.gateway._interfaces import (
-    AnswerFacts,
+    AnswerMetadata,
     BackendServer,
+    ForwardMetadata,
     RunState,
-    Sending,
 )
 from caroblug.gateway._pending_request import GatewayResponses, PendingRequest
 from caroblug.gateway._shared_retry_budget import SharedRetryBudget
@@ -59,7 +59,7 @@
     outcome_kind: AttemptOutcome
     reason: str = ""
     head: ResponseHead | None = None
-    facts: AnswerFacts | None = None
+    facts: AnswerMetadata | None = None
     body: bytes = b""
 
 
@@ -86,7 +86,7 @@
     def serve(self, pending: PendingRequest) -> None:
         """Responds to a call by its deadline at the latest."""
         clock = self._context.clock
-        repeatable = pending.admitted.route.repeatable
+        repeatable = pending.admitted.route.retryable
         last = AttemptResult(AttemptOutcome.NOT_SENT, "no backend server")
         while pending.sends < _MAX_SENDS:
             if pending.left_ms(clock.now_ms()) <= 0:
@@ -127,14 +127,14 @@
         context = self._context
         pending.tried.add(backend.name)
         exchange = Exchange(backend.address)
-        context.fleet.enter(backend.name)
+        context.fleet.begin_request(backend.name)
         try:
             result = self._exchange(pending, backend, exchange)
         finally:
             exchange.close()
-            context.fleet.leave(backend.name)
+            context.fleet.end_request(backend.name)
         if result.outcome_kind is not AttemptOutcome.ANSWERED:
-            context.tallies.count("tries_failed", reason=result.reason)
+            context.telemetry.count("tries_failed", reason=result.reason)
             context.log.write(
                 "call.try_failed",
                 request=pending.caller.id,
@@ -153,7 +153,7 @@
         context = self._context
         clock = context.clock
         left_s = pending.left_ms(clock.now_ms()) / 1000
-        problem = exchange.connect(min(CONNECT_S, left_s))
+        problem = exchange.connect(min(CONNECT_TIMEOUT_S, left_s))
         if problem is None:
             pending.on_send(self._context)
             data = self._encode(pending, backend)
@@ -167,7 +167,7 @@
         if isinstance(head, ExchangeFailure):
             return self._on_exchange_failure(pending, backend, head)
         facts = context.dialect.decode_answer(head)
-        context.fleet.on_answer(
+        context.fleet.on_response(
             backend.name, facts.running, facts.waiting, clock.now_ms()
         )
         if facts.run is RunState.NOT_RUN:
@@ -204,8 +204,8 @@
         problem: ExchangeFailure,
     ) -> AttemptResult:
         context = self._context
-        if seems_gone(problem.failure):
-            for_ms = context.fleet.avoid(backend.name, context.clock.now_ms())
+        if warrants_ejection(problem.failure):
+            for_ms = context.fleet.eject(backend.name, context.clock.now_ms())
             context.log.write(
                 "backend_server.avoided",
                 backend_server=backend.name,
@@ -219,7 +219,7 @@
         return AttemptResult(AttemptOutcome.FAILED, problem.failure.value)
 
     def _encode(self, pending: PendingRequest, backend: BackendServer) -> bytes:
-        sending = Sending(
+        sending = ForwardMetadata(
             backend=backend.name,
             left_ms=pending.left_ms(self._context.clock.now_ms()),
             account=pending.account,
@@ -236,7 +236,7 @@
     def _response_timeout_s(self, pending: PendingRequest) -> float:
         left_s = pending.left_ms(self._context.clock.now_ms()) / 1000
         route = pending.admitted.route
-        if route.repeatable and pending.ran + 1 < route.max_attempts:
+        if route.retryable and pending.ran + 1 < route.max_attempts:
             return left_s * _RETRYABLE_WAIT_SHARE
         return left_s
 
@@ -247,7 +247,7 @@
         route = pending.admitted.route
         return (
             result.head.status >= _MIN_ERROR_STATUS
-            and route.repeatable
+            and route.retryable
             and pending.ran < route.max_attempts
         )
 
--- a/caroblug/gateway/_run_results.py
+++ b/caroblug/gateway/_run_results.py
@@ -5,7 +5,7 @@
 import attrs
 
 from caroblug.gateway._exchange_results import ResponseHead
-from caroblug.gateway._interfaces import AnswerFacts
+from caroblug.gateway._interfaces import AnswerMetadata
 
 
 class RunEnd(enum.Enum):
@@ -35,5 +35,5 @@
     end: RunEnd
     reason: str = ""
     head: ResponseHead | None = None
-    facts: AnswerFacts | None = None
+    facts: AnswerMetadata | None = None
     body: bytes = b""
--- a/caroblug/gateway/_shared_retry_budget.py
+++ b/caroblug/gateway/_shared_retry_budget.py
@@ -52,7 +52,7 @@
         """
         while not self._take_own(service):
             if not self._wait_for_loan(service):
-                self._context.tallies.count("repeats_denied", service=service)
+                self._context.telemetry.count("repeats_denied", service=service)
                 return False
         return True
 
@@ -66,18 +66,18 @@
             The response, with the number `lent`.
         """
         context = self._context
-        lent = context.repeats.lend(
+        lent = context.retry_budget.lend(
             str(message["service"]),
             int(message["wanted"]),
             context.fleet.loads.gateways,
             context.clock.now_ms(),
         )
-        context.tallies.count("repeats_lent", lent)
+        context.telemetry.count("repeats_lent", lent)
         return {"lent": lent}
 
     def _take_own(self, service: str) -> bool:
         context = self._context
-        return context.repeats.take(
+        return context.retry_budget.take(
             service, context.fleet.loads.gateways, context.clock.now_ms()
         )
 
@@ -108,8 +108,8 @@
             lent = int(answer["lent"])
             self._peers.on_lent(name, service, lent)
             if lent > 0:
-                context.repeats.borrow(service, lent, requested_ms)
-                context.tallies.count("repeats_borrowed", lent)
+                context.retry_budget.borrow(service, lent, requested_ms)
+                context.telemetry.count("repeats_borrowed", lent)
                 return True
         now_ms = context.clock.now_ms()
         self._next_borrow_ms[service] = now_ms + _BORROW_BACKOFF_MS
--- a/caroblug/gateway/_slowness.py
+++ b/caroblug/gateway/_slowness.py
@@ -33,7 +33,7 @@
 the difference between two kinds of engines."""
 
 
-class Slowness:
+class SlownessDetector:
     """Looks for slow engines on the paths of running streams.
 
     Args:
@@ -56,7 +56,7 @@
     def look(self) -> None:
         """Looks once, and asks engines that seem slow."""
         now_ms = self._context.clock.now_ms()
-        for name in self._context.fleet.slow_until(now_ms):
+        for name in self._context.fleet.slow_engines_due(now_ms):
             backend = self._context.fleet.listing.backends.get(name)
             if backend is not None:
                 gevent.spawn(self._ask, name, backend.address)
@@ -85,14 +85,16 @@
     def _ask(self, name: str, address: tuple[str, int]) -> None:
         context = self._context
         report = context.dialect.read_report(address)
-        context.tallies.count("pace_questions")
+        context.telemetry.count("pace_questions")
         if isinstance(report, Unavailable):
             # That it doesn't answer is for others to find out; how slow it
             # is stays as it was believed to be.
             return
         now_ms = context.clock.now_ms()
         slow = report.pace >= SLOW_PACE
-        if context.fleet.on_pace(name, report.pace if slow else 1.0, now_ms):
+        if context.fleet.on_slowdown(
+            name, report.pace if slow else 1.0, now_ms
+        ):
             context.log.write(
                 "backend_server.pace",
                 backend_server=name,
--- a/caroblug/gateway/_stream_path_repair.py
+++ b/caroblug/gateway/_stream_path_repair.py
@@ -51,7 +51,7 @@
             path = self._policy.choose_replacement_path(refused)
             if isinstance(path, NoPath):
                 return "part is lost, no other one"
-            if path.crosses and self._policy.acquire_rerun():
+            if path.crosses_data_centres and self._policy.acquire_rerun():
                 # The data of all tokens processed so far would have to cross
                 # between data centres, for all affected streams at once. A new
                 # run elsewhere that prefills them again is faster.
@@ -72,11 +72,11 @@
     def _request_path_change(self, lost: str, path: Path) -> OrderOutcome:
         state = self._state
         context = state.context
-        state.times.note("path changed", lost)
+        state.times.record_incident("path changed", lost)
         outcome = context.dialect.change_path(
             path.first.address, state.pending.caller.id, path
         )
-        context.tallies.count("path_changes", outcome=outcome.value)
+        context.telemetry.count("path_changes", outcome=outcome.value)
         context.log.write(
             "stream.path_changed",
             request=state.pending.caller.id,
--- a/caroblug/gateway/_stream_runner.py
+++ b/caroblug/gateway/_stream_runner.py
@@ -4,7 +4,7 @@
 """
 
 from caroblug.core.placement import Path
-from caroblug.gateway._connecting import Connecting
+from caroblug.gateway._connect_attempts import ConnectAttempts
 from caroblug.gateway._crash_suspicions import CrashSuspicions
 from caroblug.gateway._events import EventPace, OutOfOrderEvent
 from caroblug.gateway._exchange_results import (
@@ -15,9 +15,9 @@
     ResponseHead,
 )
 from caroblug.gateway._interfaces import (
-    AnswerFacts,
+    AnswerMetadata,
+    ForwardMetadata,
     RunState,
-    Sending,
     Unavailable,
 )
 from caroblug.gateway._run_results import RunEnd, RunResult
@@ -64,13 +64,13 @@
         self._repair = repair
         self._crashes = crashes
         self._running = running
-        self._connecting = Connecting()
+        self._connect_attempts = ConnectAttempts()
         self._abort_reason = ""
 
     @property
     def unreachable(self) -> bool:
         """Whether connecting failed for too many engines in a row."""
-        return self._connecting.exhausted
+        return self._connect_attempts.exhausted
 
     def run(self, stream: RunningStream, path: Path) -> RunResult:
         """Runs the stream over a path until the run ends.
@@ -119,11 +119,11 @@
         pending = state.pending
         first = state.path.first.name
         left_s = state.left_ms / 1000
-        bound_s = min(self._connecting.bound_s, left_s)
-        problem = state.exchange.connect(bound_s)
+        timeout_s = min(self._connect_attempts.timeout_s, left_s)
+        problem = state.exchange.connect(timeout_s)
         if problem is not None:
             return problem
-        for name in self._connecting.on_connected():
+        for name in self._connect_attempts.on_connected():
             state.eject_engine(name, FailureKind.CONNECT.value)
         pending.on_send(self._context)
         pending.tried.add(first)
@@ -157,13 +157,15 @@
             return self._on_rejected(head, facts)
         if facts.request_id != pending.caller.id or not facts.genuine:
             return RunResult(RunEnd.LOST, f"unproved answer {head.status}")
-        self._context.fleet.on_answer(first, None, 0, state.now_ms)
-        self._context.fleet.on_room(state.path.names)
+        self._context.fleet.on_response(first, None, 0, state.now_ms)
+        self._context.fleet.on_accepted(state.path.names)
         if head.status != 200:
             return self._read_error_response(head, facts)
         return self._read_events(head, facts)
 
-    def _read_events(self, head: ResponseHead, facts: AnswerFacts) -> RunResult:
+    def _read_events(
+        self, head: ResponseHead, facts: AnswerMetadata
+    ) -> RunResult:
         state = self._state
         reply = state.pending.reply
         while True:
@@ -204,7 +206,7 @@
         state.last_event_ms = now_ms
 
     def _read_error_response(
-        self, head: ResponseHead, facts: AnswerFacts
+        self, head: ResponseHead, facts: AnswerMetadata
     ) -> RunResult:
         body = self._state.exchange.read_body(self._state.left_ms / 1000)
         if not isinstance(body, bytes):
@@ -221,7 +223,7 @@
             return RunResult(RunEnd.LOST, self._abort_reason)
         if not problem.sent:
             if problem.failure is FailureKind.CONNECT:
-                self._connecting.on_unreached(first.name)
+                self._connect_attempts.on_connect_failed(first.name)
                 state.excluded_engines.add(first.name)
             else:
                 state.eject_engine(first.name, problem.failure.value)
@@ -245,7 +247,9 @@
                 state.pending, first.name, first.address
             )
 
-    def _on_rejected(self, head: ResponseHead, facts: AnswerFacts) -> RunResult:
+    def _on_rejected(
+        self, head: ResponseHead, facts: AnswerMetadata
+    ) -> RunResult:
         state = self._state
         reason = f"turned away with {head.status}"
         fleet = self._context.fleet
@@ -256,7 +260,7 @@
             state.excluded_engines.add(name)
         fleet.on_full(name, state.now_ms)
         if at_fault is not None:
-            self._context.ask_about.add(at_fault.name)
+            self._context.engines_to_probe.add(at_fault.name)
         return RunResult(RunEnd.REJECTED, f"{reason} by {name}")
 
     def _on_read_timeout(self, check_after_s: float) -> RunResult | None:
@@ -330,7 +334,7 @@
             # The engine may have crashed or released its layers. Its next
             # report shows which.
             state.excluded_engines.add(engine.name)
-            self._context.ask_about.add(engine.name)
+            self._context.engines_to_probe.add(engine.name)
             self._crashes.on_connection_lost(
                 state.pending, engine.name, engine.address
             )
@@ -345,7 +349,7 @@
     def _encode(self) -> bytes:
         state = self._state
         pending = state.pending
-        sending = Sending(
+        sending = ForwardMetadata(
             backend=state.path.first.name,
             left_ms=state.left_ms,
             account=pending.account,
--- a/caroblug/gateway/_stream_state.py
+++ b/caroblug/gateway/_stream_state.py
@@ -7,7 +7,7 @@
 from caroblug.gateway._events import EventPace, EventSequence
 from caroblug.gateway._http_client import Exchange
 from caroblug.gateway._pending_request import PendingRequest
-from caroblug.gateway._timeliness import Timeliness
+from caroblug.gateway._stream_latency import StreamLatency
 
 
 @attrs.define
@@ -31,7 +31,7 @@
 
     context: Context
     pending: PendingRequest
-    times: Timeliness
+    times: StreamLatency
     events: EventSequence
     path: Path | None = None
     exchange: Exchange | None = None
@@ -65,14 +65,14 @@
         self.lost = ""
         self._enter_path(path)
         self._reading = path.names
-        self.context.fleet.loads.begin_reading(self._reading)
+        self.context.fleet.loads.begin_prefill(self._reading)
         self.exchange = Exchange(path.first.address)
-        self.context.fleet.enter(path.first.name)
+        self.context.fleet.begin_request(path.first.name)
 
     def end_run(self) -> None:
         """Closes the run's exchange and releases its load."""
         self.exchange.close()
-        self.context.fleet.leave(self.path.first.name)
+        self.context.fleet.end_request(self.path.first.name)
         self.end_reading()
         self._leave_path()
 
@@ -84,7 +84,7 @@
 
     def end_reading(self) -> None:
         """Releases the prefill load of the current run."""
-        self.context.fleet.loads.end_reading(self._reading)
+        self.context.fleet.loads.end_prefill(self._reading)
         self._reading = ()
 
     def eject_engine(self, name: str, reason: str) -> None:
@@ -95,7 +95,7 @@
             reason: Why it is ejected, for the log.
         """
         self.excluded_engines.add(name)
-        for_ms = self.context.fleet.avoid(name, self.now_ms)
+        for_ms = self.context.fleet.eject(name, self.now_ms)
         self.context.log.write(
             "backend_server.avoided",
             backend_server=name,
@@ -105,10 +105,12 @@
 
     def _enter_path(self, path: Path) -> None:
         self.path = path
-        self.context.fleet.loads.open(path.names, self._mean_tokens())
+        self.context.fleet.loads.add_request(path.names, self._mean_tokens())
 
     def _leave_path(self) -> None:
-        self.context.fleet.loads.close(self.path.names, self._mean_tokens())
+        self.context.fleet.loads.remove_request(
+            self.path.names, self._mean_tokens()
+        )
 
     def _mean_tokens(self) -> int:
         """Returns the mean number of tokens in memory over the stream's time.
@@ -122,8 +124,8 @@
 
 def make_stream_state(context: Context, pending: PendingRequest) -> StreamState:
     """Returns the state of a stream that hasn't run yet."""
-    times = Timeliness(pending.request.began_ms)
-    pending.timeliness = times
+    times = StreamLatency(pending.request.began_ms)
+    pending.stream_latency = times
     events = EventSequence(_parse_event_id(pending.caller.resume_after))
     return StreamState(context, pending, times, events)
 
--- a/caroblug/gateway/_streams.py
+++ b/caroblug/gateway/_streams.py
@@ -195,8 +195,10 @@
         if result.end is RunEnd.COMPLETE:
             return
         state = self._state
-        state.times.note(result.reason, state.lost or state.path.first.name)
-        state.context.tallies.count("runs_failed", end=result.end.value)
+        state.times.record_incident(
+            result.reason, state.lost or state.path.first.name
+        )
+        state.context.telemetry.count("runs_failed", end=result.end.value)
         state.context.log.write(
             "stream.run_failed",
             request=state.pending.caller.id,
--- a/caroblug/gateway/tests/test_shared_retry_budget.py
+++ b/caroblug/gateway/tests/test_shared_retry_budget.py
@@ -4,9 +4,9 @@
 the same moment, while each gateway owns a small part of the retry budget.
 """
 
-from caroblug.core.limits import RepeatWindow
+from caroblug.core.limits import WindowedRetryBudget
 from caroblug.gateway._interfaces import Member, Unavailable
-from caroblug.gateway._peers import TenureState
+from caroblug.gateway._peers import LeaseState
 from caroblug.gateway._shared_retry_budget import LEND_PATH, SharedRetryBudget
 from caroblug.gateway.tests.test_placement import make_placement, tell
 from caroblug.utils import ManualClock
@@ -22,7 +22,7 @@
     def __init__(self) -> None:
         self.clock = ManualClock(100_000)
         self.budgets: dict[str, SharedRetryBudget] = {}
-        self.windows: dict[str, RepeatWindow] = {}
+        self.windows: dict[str, WindowedRetryBudget] = {}
         self.unreachable: set[str] = set()
         self._peers = {}
         for i in range(GATEWAYS):
@@ -31,10 +31,10 @@
 
     def _add(self, name: str) -> None:
         context, _, peers, _ = make_placement(name, self.clock)
-        context.repeats = RepeatWindow(0.0, EXTRA, WINDOW_MS)
+        context.retry_budget = WindowedRetryBudget(0.0, EXTRA, WINDOW_MS)
         context.fleet.loads.gateways = GATEWAYS
         self._peers[name] = peers
-        self.windows[name] = context.repeats
+        self.windows[name] = context.retry_budget
         self.budgets[name] = SharedRetryBudget(context, peers)
         peers.call = self.call
 
@@ -50,12 +50,12 @@
             for other, window in self.windows.items():
                 if other == name:
                     continue
-                left = window.left("pool", GATEWAYS, self.clock.now_ms())
-                peers._on_member(Member(other, ("10.0.0.1", 1)))
+                left = window.remaining("pool", GATEWAYS, self.clock.now_ms())
+                peers._add_member(Member(other, ("10.0.0.1", 1)))
                 tell(
                     peers,
                     other,
-                    TenureState.NONE,
+                    LeaseState.NONE,
                     repeats={"pool": int(left)},
                 )
 
--- a/caroblug/gateway/tests/test_slowness.py
+++ b/caroblug/gateway/tests/test_slowness.py
@@ -4,7 +4,7 @@
 import gevent
 
 from caroblug.gateway._running_streams import RunningStreams
-from caroblug.gateway._slowness import Slowness
+from caroblug.gateway._slowness import SlownessDetector
 from caroblug.gateway.tests.fakes import make_context
 from caroblug.gateway.tests.test_fleet import POOL, list_of, make_engine
 from caroblug.gateway.tests.test_liveness import FakeStream
@@ -30,7 +30,7 @@
         self.clock = ManualClock(100_000)
         self.context = make_context(clock=self.clock)
         engines = [make_engine("x", 0, 80), make_engine("y", 0, 80)]
-        self.context.fleet.take_listing(list_of(*engines), 100_000)
+        self.context.fleet.update_listing(list_of(*engines), 100_000)
         for engine in engines:
             self.context.dialect.add(engine.address, engine.holds)
         self.addresses = {e.name: e.address for e in engines}
@@ -38,7 +38,7 @@
         self.streams = streams
         for stream in streams:
             self.running.add(stream)
-        self.slowness = Slowness(self.context, self.running)
+        self.slowness = SlownessDetector(self.context, self.running)
 
     def say(self, name: str, pace: float) -> None:
         reports = self.context.dialect.reports
@@ -52,7 +52,7 @@
             gevent.wait()
 
     def asked(self) -> bool:
-        return b"pace_questions" in self.context.tallies.expose()
+        return b"pace_questions" in self.context.telemetry.expose()
 
     def paths(self) -> set[str]:
         now_ms = self.clock.now_ms()
@@ -122,11 +122,11 @@
     finder.look()
     other.clock.advance(finder.clock.now_ms() - other.clock.now_ms())
 
-    for name, (pace, age_ms) in finder.context.fleet.recent_paces(
+    for name, (pace, age_ms) in finder.context.fleet.recent_slowdowns(
         finder.clock.now_ms()
     ).items():
         told_ms = other.clock.now_ms() - age_ms
-        other.context.fleet.on_pace(name, pace, told_ms)
+        other.context.fleet.on_slowdown(name, pace, told_ms)
 
     assert other.paths() == {"y"}
 
@@ -136,8 +136,8 @@
     site = Site()
     fleet = site.context.fleet
     now_ms = site.clock.now_ms()
-    fleet.on_pace("x", 1.0, now_ms)
+    fleet.on_slowdown("x", 1.0, now_ms)
 
-    fleet.on_pace("x", 8.0, now_ms - 500)
+    fleet.on_slowdown("x", 8.0, now_ms - 500)
 
     assert site.paths() == {"x", "y"}
