--- a/caroblug/gateway/_pending_request.py
+++ b/caroblug/gateway/_pending_request.py
@@ -173,13 +173,13 @@
 
 def _timing_fields(pending: PendingRequest) -> dict[str, str | int | None]:
     """Returns the log fields about the timing of a stream's events."""
-    timeliness = pending.stream_latency
-    if timeliness is None:
+    latency = pending.stream_latency
+    if latency is None:
         return {}
     return {
-        "first_ms": timeliness.first_ms,
-        "pause_ms": timeliness.pause_ms,
-        "late": timeliness.missed_objective(pending.admitted.route),
-        "cause": timeliness.cause,
-        "engine": timeliness.engine,
+        "first_ms": latency.first_ms,
+        "pause_ms": latency.pause_ms,
+        "late": latency.missed_objective(pending.admitted.route),
+        "cause": latency.cause,
+        "engine": latency.engine,
     }
--- a/caroblug/gateway/_plain_calls.py
+++ b/caroblug/gateway/_plain_calls.py
@@ -52,14 +52,14 @@
         outcome_kind: Outcome of the attempt.
         reason: Why the attempt failed, for the log and the caller.
         head: Head of the response, if the attempt was answered.
-        facts: Information decoded from the head.
+        metadata: Information decoded from the head.
         body: Body of the response, if the attempt was answered.
     """
 
     outcome_kind: AttemptOutcome
     reason: str = ""
     head: ResponseHead | None = None
-    facts: AnswerMetadata | None = None
+    metadata: AnswerMetadata | None = None
     body: bytes = b""
 
 
@@ -86,7 +86,7 @@
     def serve(self, pending: PendingRequest) -> None:
         """Responds to a call by its deadline at the latest."""
         clock = self._context.clock
-        repeatable = pending.admitted.route.retryable
+        retryable = pending.admitted.route.retryable
         last = AttemptResult(AttemptOutcome.NOT_SENT, "no backend server")
         while pending.sends < _MAX_SENDS:
             if pending.left_ms(clock.now_ms()) <= 0:
@@ -112,7 +112,7 @@
                 AttemptOutcome.FAILED,
                 AttemptOutcome.TIMED_OUT,
             )
-            if failed and not repeatable:
+            if failed and not retryable:
                 break
             if pending.ran >= pending.admitted.route.max_attempts:
                 break
@@ -166,11 +166,11 @@
             return AttemptResult(AttemptOutcome.TIMED_OUT, "no answer in time")
         if isinstance(head, ExchangeFailure):
             return self._on_exchange_failure(pending, backend, head)
-        facts = context.dialect.decode_answer(head)
+        metadata = context.dialect.decode_answer(head)
         context.fleet.on_response(
-            backend.name, facts.running, facts.waiting, clock.now_ms()
+            backend.name, metadata.running, metadata.waiting, clock.now_ms()
         )
-        if facts.run is RunState.NOT_RUN:
+        if metadata.run is RunState.NOT_RUN:
             context.fleet.on_full(backend.name, clock.now_ms())
             return AttemptResult(
                 AttemptOutcome.REJECTED, f"turned away with {head.status}"
@@ -186,16 +186,16 @@
             return AttemptResult(
                 AttemptOutcome.FAILED, f"body {body.failure.value}"
             )
-        if facts.request_id != pending.caller.id:
+        if metadata.request_id != pending.caller.id:
             # A response to another request says nothing about this one.
             return AttemptResult(
                 AttemptOutcome.FAILED, FailureKind.WRONG_ANSWER.value
             )
-        if not facts.genuine:
+        if not metadata.genuine:
             return AttemptResult(
                 AttemptOutcome.FAILED, f"unproved answer {head.status}"
             )
-        return AttemptResult(AttemptOutcome.ANSWERED, "", head, facts, body)
+        return AttemptResult(AttemptOutcome.ANSWERED, "", head, metadata, body)
 
     def _on_exchange_failure(
         self,
@@ -219,7 +219,7 @@
         return AttemptResult(AttemptOutcome.FAILED, problem.failure.value)
 
     def _encode(self, pending: PendingRequest, backend: BackendServer) -> bytes:
-        sending = ForwardMetadata(
+        forward_metadata = ForwardMetadata(
             backend=backend.name,
             left_ms=pending.left_ms(self._context.clock.now_ms()),
             account=pending.account,
@@ -227,7 +227,7 @@
             resume_after=pending.caller.resume_after,
         )
         return self._context.dialect.encode_request(
-            pending.request, pending.caller, sending
+            pending.request, pending.caller, forward_metadata
         )
 
     def _is_bodiless(self, pending: PendingRequest) -> bool:
@@ -254,7 +254,7 @@
     def _forward(self, pending: PendingRequest, result: AttemptResult) -> None:
         status = result.head.status
         self._responses.log(pending, status)
-        pending.reply.send(status, list(result.facts.headers), result.body)
+        pending.reply.send(status, list(result.metadata.headers), result.body)
 
     def _finish(self, pending: PendingRequest, last: AttemptResult) -> None:
         if last.outcome_kind is AttemptOutcome.ANSWERED:
--- a/caroblug/gateway/_run_results.py
+++ b/caroblug/gateway/_run_results.py
@@ -28,12 +28,12 @@
         end: How the run ended.
         reason: Why the run failed, for the log and the caller.
         head: Head of a response that is not a stream.
-        facts: Information decoded from that head.
+        metadata: Information decoded from that head.
         body: Body of that response.
     """
 
     end: RunEnd
     reason: str = ""
     head: ResponseHead | None = None
-    facts: AnswerMetadata | None = None
+    metadata: AnswerMetadata | None = None
     body: bytes = b""
--- a/caroblug/gateway/_shared_retry_budget.py
+++ b/caroblug/gateway/_shared_retry_budget.py
@@ -102,10 +102,10 @@
         message = {"service": service, "wanted": _LOAN_SIZE}
         for name in self._peers.lenders(service)[:_MAX_LENDERS]:
             requested_ms = context.clock.now_ms()
-            answer = self._peers.call(name, LEND_PATH, message)
-            if isinstance(answer, Unavailable):
+            response = self._peers.call(name, LEND_PATH, message)
+            if isinstance(response, Unavailable):
                 continue
-            lent = int(answer["lent"])
+            lent = int(response["lent"])
             self._peers.on_lent(name, service, lent)
             if lent > 0:
                 context.retry_budget.borrow(service, lent, requested_ms)
--- a/caroblug/gateway/_stream_path_repair.py
+++ b/caroblug/gateway/_stream_path_repair.py
@@ -72,7 +72,7 @@
     def _request_path_change(self, lost: str, path: Path) -> OrderOutcome:
         state = self._state
         context = state.context
-        state.times.record_incident("path changed", lost)
+        state.latency.record_incident("path changed", lost)
         outcome = context.dialect.change_path(
             path.first.address, state.pending.caller.id, path
         )
--- a/caroblug/gateway/_stream_runner.py
+++ b/caroblug/gateway/_stream_runner.py
@@ -150,42 +150,42 @@
         state = self._state
         pending = state.pending
         first = state.path.first.name
-        facts = self._context.dialect.decode_answer(head)
-        if facts.run is RunState.NOT_RUN:
+        metadata = self._context.dialect.decode_answer(head)
+        if metadata.run is RunState.NOT_RUN:
             pending.ran -= 1
             state.began_on.discard(first)
-            return self._on_rejected(head, facts)
-        if facts.request_id != pending.caller.id or not facts.genuine:
+            return self._on_rejected(head, metadata)
+        if metadata.request_id != pending.caller.id or not metadata.genuine:
             return RunResult(RunEnd.LOST, f"unproved answer {head.status}")
         self._context.fleet.on_response(first, None, 0, state.now_ms)
         self._context.fleet.on_accepted(state.path.names)
         if head.status != 200:
-            return self._read_error_response(head, facts)
-        return self._read_events(head, facts)
+            return self._read_error_response(head, metadata)
+        return self._read_events(head, metadata)
 
     def _read_events(
-        self, head: ResponseHead, facts: AnswerMetadata
+        self, head: ResponseHead, metadata: AnswerMetadata
     ) -> RunResult:
         state = self._state
         reply = state.pending.reply
         while True:
-            piece = state.exchange.read_chunk(
+            chunk = state.exchange.read_chunk(
                 self._read_timeout_s(_PAUSE_CHECK_S)
             )
-            if isinstance(piece, EndOfBody):
+            if isinstance(chunk, EndOfBody):
                 if state.events.mid_event:
                     return RunResult(RunEnd.LOST, "ended inside an event")
                 if not reply.begun:
-                    reply.begin(head.status, list(facts.headers))
+                    reply.begin(head.status, list(metadata.headers))
                 return RunResult(RunEnd.COMPLETE)
-            if isinstance(piece, ExchangeFailure):
-                return self._on_exchange_failure(piece)
-            if isinstance(piece, ReadTimeout):
+            if isinstance(chunk, ExchangeFailure):
+                return self._on_exchange_failure(chunk)
+            if isinstance(chunk, ReadTimeout):
                 result = self._on_read_timeout(_PAUSE_CHECK_S)
                 if result is not None:
                     return result
                 continue
-            events = state.events.feed(piece)
+            events = state.events.feed(chunk)
             if isinstance(events, OutOfOrderEvent):
                 return RunResult(
                     RunEnd.LOST,
@@ -193,29 +193,34 @@
                 )
             if events:
                 if not reply.begun:
-                    reply.begin(head.status, list(facts.headers))
+                    reply.begin(head.status, list(metadata.headers))
                 self._forward(events)
 
     def _forward(self, events: list[bytes]) -> None:
         state = self._state
-        state.end_reading()
+        state.end_prefill()
         state.pending.reply.send_chunk(b"".join(events))
         now_ms = state.now_ms
-        state.times.on_events(now_ms)
+        state.latency.on_events(now_ms)
         state.pace.add(len(events), now_ms - state.last_event_ms)
         state.last_event_ms = now_ms
 
     def _read_error_response(
-        self, head: ResponseHead, facts: AnswerMetadata
+        self, head: ResponseHead, metadata: AnswerMetadata
     ) -> RunResult:
         body = self._state.exchange.read_body(self._state.left_ms / 1000)
         if not isinstance(body, bytes):
             return RunResult(RunEnd.LOST, f"failure {head.status} not whole")
         return RunResult(
-            RunEnd.ERROR_RESPONSE, f"answered {head.status}", head, facts, body
+            RunEnd.ERROR_RESPONSE,
+            f"answered {head.status}",
+            head,
+            metadata,
+            body,
         )
 
     # Failures.
+
     def _on_exchange_failure(self, problem: ExchangeFailure) -> RunResult:
         state = self._state
         first = state.path.first
@@ -248,12 +253,12 @@
             )
 
     def _on_rejected(
-        self, head: ResponseHead, facts: AnswerMetadata
+        self, head: ResponseHead, metadata: AnswerMetadata
     ) -> RunResult:
         state = self._state
         reason = f"turned away with {head.status}"
         fleet = self._context.fleet
-        at_fault = fleet.find(facts.at_fault) if facts.at_fault else None
+        at_fault = fleet.find(metadata.at_fault) if metadata.at_fault else None
         name = at_fault.name if at_fault else state.path.first.name
         state.lost = name
         if name in state.path.names:
@@ -349,7 +354,7 @@
     def _encode(self) -> bytes:
         state = self._state
         pending = state.pending
-        sending = ForwardMetadata(
+        forward_metadata = ForwardMetadata(
             backend=state.path.first.name,
             left_ms=state.left_ms,
             account=pending.account,
@@ -358,7 +363,7 @@
             resume_after=state.resume_after,
         )
         return self._context.dialect.encode_request(
-            pending.request, pending.caller, sending
+            pending.request, pending.caller, forward_metadata
         )
 
     def _read_timeout_s(self, check_after_s: float) -> float:
--- a/caroblug/gateway/_stream_state.py
+++ b/caroblug/gateway/_stream_state.py
@@ -17,7 +17,7 @@
     Attributes:
         context: State shared by the gateway's components.
         pending: The request.
-        times: Times of the forwarded events.
+        latency: Times of the forwarded events.
         events: Parser and order check of the stream's events.
         path: Path of the latest run; None before the first run.
         exchange: HTTP exchange of the latest run; None before the first run.
@@ -31,7 +31,7 @@
 
     context: Context
     pending: PendingRequest
-    times: StreamLatency
+    latency: StreamLatency
     events: EventSequence
     path: Path | None = None
     exchange: Exchange | None = None
@@ -40,7 +40,7 @@
     pace: EventPace = attrs.field(factory=EventPace)
     last_event_ms: int = 0
     lost: str = ""
-    _reading: tuple[str, ...] = ()
+    _prefilling_engines: tuple[str, ...] = ()
 
     @property
     def now_ms(self) -> int:
@@ -64,8 +64,8 @@
         """Sets up a run over a path and counts its load."""
         self.lost = ""
         self._enter_path(path)
-        self._reading = path.names
-        self.context.fleet.loads.begin_prefill(self._reading)
+        self._prefilling_engines = path.names
+        self.context.fleet.loads.begin_prefill(self._prefilling_engines)
         self.exchange = Exchange(path.first.address)
         self.context.fleet.begin_request(path.first.name)
 
@@ -73,7 +73,7 @@
         """Closes the run's exchange and releases its load."""
         self.exchange.close()
         self.context.fleet.end_request(self.path.first.name)
-        self.end_reading()
+        self.end_prefill()
         self._leave_path()
 
     def change_path(self, path: Path) -> None:
@@ -82,10 +82,10 @@
         self._enter_path(path)
         self.last_event_ms = self.now_ms
 
-    def end_reading(self) -> None:
+    def end_prefill(self) -> None:
         """Releases the prefill load of the current run."""
-        self.context.fleet.loads.end_prefill(self._reading)
-        self._reading = ()
+        self.context.fleet.loads.end_prefill(self._prefilling_engines)
+        self._prefilling_engines = ()
 
     def eject_engine(self, name: str, reason: str) -> None:
         """Excludes an engine from this stream and ejects it for all others.
@@ -124,10 +124,10 @@
 
 def make_stream_state(context: Context, pending: PendingRequest) -> StreamState:
     """Returns the state of a stream that hasn't run yet."""
-    times = StreamLatency(pending.request.began_ms)
-    pending.stream_latency = times
+    latency = StreamLatency(pending.request.began_ms)
+    pending.stream_latency = latency
     events = EventSequence(_parse_event_id(pending.caller.resume_after))
-    return StreamState(context, pending, times, events)
+    return StreamState(context, pending, latency, events)
 
 
 def _parse_event_id(text: str | None) -> int | None:
--- a/caroblug/gateway/_streams.py
+++ b/caroblug/gateway/_streams.py
@@ -180,7 +180,7 @@
         elif result.end is RunEnd.ERROR_RESPONSE:
             self._responses.log(pending, result.head.status, "engine's answer")
             reply.send(
-                result.head.status, list(result.facts.headers), result.body
+                result.head.status, list(result.metadata.headers), result.body
             )
         elif result.end is RunEnd.OUT_OF_TIME and pending.ran:
             self._responses.fail(pending, 504, result.reason)
@@ -195,7 +195,7 @@
         if result.end is RunEnd.COMPLETE:
             return
         state = self._state
-        state.times.record_incident(
+        state.latency.record_incident(
             result.reason, state.lost or state.path.first.name
         )
         state.context.telemetry.count("runs_failed", end=result.end.value)
--- a/caroblug/gateway/tests/fakes.py
+++ b/caroblug/gateway/tests/fakes.py
@@ -1,4 +1,4 @@
-"""A platform in memory, for decisions of gateways without sockets."""
+"""In-memory platform for testing gateway decisions without sockets."""
 
 import random
 
@@ -28,7 +28,7 @@
 
 
 class FakeDialect(Dialect):
-    """Engines by address that answer reports and carry out orders."""
+    """Dialect whose engines return preset reports and carry out orders."""
 
     def __init__(self) -> None:
         self.reports: dict[tuple[str, int], EngineReport] = {}
@@ -36,7 +36,7 @@
         self.outcome = OrderOutcome.BEGUN
 
     def add(self, address, holds: LayerRange, orders: int = 0) -> None:
-        """Adds an engine."""
+        """Adds an engine that serves the given layers."""
         self.reports[address] = EngineReport(
             holds, False, orders, (), 1.0, "big", 0
         )
@@ -75,7 +75,7 @@
 
 
 class FakeRegistry(Registry):
-    """A store whose answers a test sets."""
+    """Registry whose results are set by the test."""
 
     def __init__(self) -> None:
         self.lease: PlacementLease | Unavailable = PlacementLease(True, 2)
