--- a/caroblug/gateway/tests/test_http_client.py
+++ b/caroblug/gateway/tests/test_http_client.py
@@ -20,7 +20,7 @@
     listener.start()
     request = format_request("GET", "/", [("Host", "h")])
 
-    answer = fetch(listener.address, request, timeout_s=0.02)
+    response = fetch(listener.address, request, timeout_s=0.02)
 
-    assert answer == ExchangeFailure(FailureKind.SILENT, sent=True)
+    assert response == ExchangeFailure(FailureKind.SILENT, sent=True)
     listener.stop(timeout=0)
