--- a/caroblug/gateway/_fleet.py
+++ b/caroblug/gateway/_fleet.py
@@ -1,4 +1,8 @@
-"""What an entry believes of backend servers: the list, and what it met."""
+"""State of the backend servers, as one gateway sees them.
+
+It combines the listing of the platform with what the gateway itself observes:
+responses, failures, rejections and the reports of engines.
+"""
 
 import collections
 import random
@@ -19,75 +23,106 @@
 from caroblug.gateway._interfaces import BackendServer, Listing
 from caroblug.gateway._outcomes import Failure
 
-AVOID_MS = 500
-"""How long a backend server that failed is left alone, in ms; doubled with
-each failure in a row. An engine is then asked for a report before it gets
-work again; a crashed one is back after some seconds."""
+_MIN_EJECTION_MS = 500
+"""Time for which a failed backend server gets no requests, in ms. It doubles
+with each consecutive failure. An engine must then answer a probe before it is
+readmitted; one that crashed is back after some seconds."""
 
-_AVOID_MOST_MS = 2000
-_NO_ROOM_MS = 300
-"""How long a full engine is not sent to, in which some of its streams end.
-Doubled with each refusal in a row: each one counts against the repeats that
-all gateways share."""
+_MAX_EJECTION_MS = 2000
+_MIN_FULL_BACKOFF_MS = 300
+"""Time for which a full engine gets no requests, in ms: long enough for some
+of its streams to end. It doubles with each consecutive rejection, because each
+one consumes the retry budget that all gateways share."""
 
-_NO_ROOM_MOST_MS = 1200
+_MAX_FULL_BACKOFF_MS = 1200
 
-_PACE_KEPT_MS = 2000
-"""How long a slow engine is priced as such before it is asked again; streams
-avoid it, so that nothing else would show that it has recovered."""
+_SLOWDOWN_PROBE_MS = 2000
+"""Time between two probes of an engine known to be slow, in ms. Streams avoid
+it meanwhile, so only a probe can show that it has recovered."""
 
-_PACE_SPREAD_MS = 1000
-"""Added at random, so that one gateway asks first and tells the others."""
+_SLOWDOWN_PROBE_JITTER_MS = 1000
+"""Random delay added to it, in ms, so that one gateway probes first and shares
+the result with the others."""
 
-_HEARD_KEPT_MS = 1500
-"""A list that was read this much after an engine's own word on its layers goes
-before it: a heartbeat, and what the list lags behind."""
+_LISTING_LAG_MS = 1500
+"""How much later than an engine's own report the listing must have been read
+to override it, in ms: one heartbeat interval plus the delay of the list."""
 
-_TELL_ON_MS = 4000
-"""How long an engine's own word is told to other gateways."""
+_REPORT_SHARING_MS = 4000
+"""Time for which an engine's own report is sent to other gateways, in ms."""
 
-_BUSY_KEPT_MS = 1000
-"""How long an engine that says it carries out an order counts as loading."""
+_BUSY_TTL_MS = 1000
+"""Time for which an engine counts as loading after it reported that it is
+carrying out an order, in ms."""
 
 _LATE_ORDER_MS = 13000
-"""How long an order that got no answer may still be carried out: seconds, on
-an engine that answers nobody for a while."""
+"""Time within which an unanswered order may still be carried out, in ms. An
+engine can be unresponsive for seconds before it processes the order."""
 
-_UNLISTED_KEPT_MS = 15000
-"""How long what was met at a backend server outlives its place in the list."""
+_UNLISTED_RETENTION_MS = 15000
+"""Time for which the state of a backend server is retained after it has left
+the listing, in ms."""
 
 
 @attrs.define
-class _Met:
-    """What this entry met at one backend server."""
+class _BackendState:
+    """State that this gateway keeps for one backend server.
+
+    Attributes:
+        in_flight: Requests of this gateway in flight.
+        running: Requests that the server last reported, running or waiting.
+        load_reported_ms: When it reported them.
+        ejected_until_ms: End of the ejection.
+        failed_since_ms: When the current series of failures began.
+        pace: Reported slowdown, as a multiple of the time that engines of
+            its kind need; 1 if it is not slow.
+        pace_ms: When it reported the slowdown.
+        pace_probe_ms: When its slowdown is to be probed next.
+        full_until_ms: End of the backoff after rejections for lack of
+            capacity.
+        refusals: Consecutive rejections for lack of capacity.
+        failures: Consecutive failures.
+        ended: Whether its process has ended.
+        ordered_layers: Layers that it was ordered to hold; None if no order
+            is pending.
+        order_deadline_ms: When the pending order is given up.
+        busy_until_ms: End of the time for which it counts as busy.
+        late_order_until_ms: Until when an unanswered order may still be
+            carried out.
+        listed_ms: When it was last in the listing.
+        reported_layers: Layers that it reported itself; None if the listing
+            is newer.
+        layers_reported_ms: When it reported them.
+        leaving_ms: When it was last found to be draining; -1 if never.
+    """
 
     in_flight: int = 0
     running: int = 0
-    told_ms: int = -1_000_000
-    avoid_until_ms: int = 0
+    load_reported_ms: int = -1_000_000
+    ejected_until_ms: int = 0
     failed_since_ms: int = 0
     pace: float = 1.0
     pace_ms: int = -1_000_000
-    pace_until_ms: int = 0
+    pace_probe_ms: int = 0
     full_until_ms: int = 0
     refusals: int = 0
     failures: int = 0
     ended: bool = False
-    placed: LayerRange | None = None
-    placed_until_ms: int = 0
+    ordered_layers: LayerRange | None = None
+    order_deadline_ms: int = 0
     busy_until_ms: int = 0
-    uncertain_until_ms: int = 0
-    seen_ms: int = 0
-    told_holds: LayerRange | None = None
-    told_holds_ms: int = 0
+    late_order_until_ms: int = 0
+    listed_ms: int = 0
+    reported_layers: LayerRange | None = None
+    layers_reported_ms: int = 0
     leaving_ms: int = -1
 
 
 class Fleet:
-    """Backend servers that may be used now.
+    """Tracks the state of all listed backend servers and selects among them.
 
     Args:
-        data_centre: Where the entry runs.
+        data_centre: Data centre of this gateway.
         rng: Source of randomness.
     """
 
@@ -96,36 +131,42 @@
         self._rng = rng
         self._listing = Listing({}, -1)
         self._listed_ms = -1
-        self._met: dict[str, _Met] = collections.defaultdict(_Met)
+        self._states: dict[str, _BackendState] = collections.defaultdict(
+            _BackendState
+        )
         self._loads = EngineLoads()
 
     @property
     def has_listing(self) -> bool:
-        """Whether a list has been read."""
+        """Whether a listing has been read."""
         return self._listed_ms >= 0
 
     @property
     def listing(self) -> Listing:
-        """The newest list."""
+        """The newest listing."""
         return self._listing
 
     @property
     def loads(self) -> EngineLoads:
-        """Tokens on each engine."""
+        """Estimated load of each engine, in tokens."""
         return self._loads
 
     def listing_age_ms(self, now_ms: int) -> int:
-        """Returns the age of the list, in ms."""
+        """Returns the age of the listing, in ms."""
         return now_ms - self._listed_ms
 
     def update_listing(self, listing: Listing, now_ms: int) -> bool:
-        """Takes a list; an older one than the last is left out.
+        """Replaces the listing, unless the new one is older.
 
-        Guards against a store that answers from before: backend servers
-        that have left would be sent to again.
+        A stale read from the store would otherwise bring back backend servers
+        that have left, and requests would be sent to them.
+
+        Args:
+            listing: The listing that was read.
+            now_ms: When it was read.
 
         Returns:
-            Whether it was taken.
+            Whether the listing was replaced.
         """
         if listing.end < self._listing.end:
             return False
@@ -133,17 +174,26 @@
         self._listing = listing
         self._listed_ms = now_ms
         for name, backend in listing.backends.items():
-            met = self._met[name]
-            met.seen_ms = now_ms
+            state = self._states[name]
+            state.listed_ms = now_ms
             if name not in before or before[name].holds != backend.holds:
-                met.told_holds = None
-        for name, met in list(self._met.items()):
-            if now_ms - met.seen_ms > _UNLISTED_KEPT_MS and not met.in_flight:
-                del self._met[name]
+                state.reported_layers = None
+        for name, state in list(self._states.items()):
+            if (
+                now_ms - state.listed_ms > _UNLISTED_RETENTION_MS
+                and not state.in_flight
+            ):
+                del self._states[name]
         return True
 
     def confirm_listing(self, digest: str, end: int, listed_ms: int) -> None:
-        """Notes that another gateway read the same list later."""
+        """Records that another gateway has read the same listing more recently.
+
+        Args:
+            digest: Digest of the other gateway's listing.
+            end: Version of the other gateway's listing.
+            listed_ms: When the other gateway read it.
+        """
         if digest == self._listing.digest and listed_ms > self._listed_ms:
             self._listing = attrs.evolve(
                 self._listing, end=max(end, self._listing.end)
@@ -151,7 +201,7 @@
             self._listed_ms = listed_ms
 
     def backends(self, service: str) -> list[BackendServer]:
-        """Returns the backend servers of a service that are not leaving."""
+        """Returns the backend servers of a service that are not draining."""
         return [
             b
             for b in self._listing.backends.values()
@@ -159,27 +209,34 @@
         ]
 
     def on_leaving(self, name: str, now_ms: int) -> None:
-        """Notes that a backend server itself takes no new work.
+        """Records that a backend server itself reports that it is draining.
 
-        Guards against a list that can't be read: a backend server that
-        leaves meanwhile turns each request away, and its layers look held.
+        This matters while the listing can't be read: a server that begins to
+        drain then rejects every request, yet its layers still count as served.
         """
-        met = self._met[name]
-        met.leaving_ms = max(met.leaving_ms, now_ms)
+        state = self._states[name]
+        state.leaving_ms = max(state.leaving_ms, now_ms)
 
     def recently_leaving(self, now_ms: int) -> dict[str, int]:
-        """Returns backend servers found to leave, with the age in ms."""
+        """Returns servers recently found draining.
+
+        Returns:
+            Age of the observation in ms, by name of the backend server.
+        """
         return {
-            name: now_ms - met.leaving_ms
-            for name, met in self._met.items()
-            if met.leaving_ms >= 0 and now_ms - met.leaving_ms < _TELL_ON_MS
+            name: now_ms - state.leaving_ms
+            for name, state in self._states.items()
+            if state.leaving_ms >= 0
+            and now_ms - state.leaving_ms < _REPORT_SHARING_MS
         }
 
     def _is_leaving(self, backend: BackendServer) -> bool:
         if backend.leaving:
             return True
-        leaving_ms = self._met[backend.name].leaving_ms
-        return leaving_ms >= 0 and self._listed_ms < leaving_ms + _HEARD_KEPT_MS
+        leaving_ms = self._states[backend.name].leaving_ms
+        return (
+            leaving_ms >= 0 and self._listed_ms < leaving_ms + _LISTING_LAG_MS
+        )
 
     def find(self, address: tuple[str, int]) -> BackendServer | None:
         """Returns the backend server that is listed at an address."""
@@ -191,44 +248,52 @@
     def choose_backend(
         self, service: Service, tried: set[str], now_ms: int
     ) -> BackendServer | None:
-        """Returns the least busy backend server of a plain service.
+        """Returns the least loaded backend server of a service without a model.
 
         Args:
             service: The service.
-            tried: Backend servers that the request was sent to before.
-            now_ms: Time now.
+            tried: Names of backend servers that the request was already sent
+                to.
+            now_ms: Current time.
+
+        Returns:
+            The backend server; None if all have been tried.
         """
         usable = [b for b in self.backends(service.name) if b.name not in tried]
-        sound = [b for b in usable if not self.is_excluded(b.name, now_ms)]
-        if not sound:
-            # Everyone failed lately: the one whose failure is oldest may be
-            # back, and asking costs a refused connection at most.
-            usable.sort(key=lambda b: self._met[b.name].avoid_until_ms)
+        healthy = [b for b in usable if not self.is_excluded(b.name, now_ms)]
+        if not healthy:
+            # All of them failed recently. The one whose ejection ends first
+            # may be back, and trying it costs at most a refused connection.
+            usable.sort(key=lambda b: self._states[b.name].ejected_until_ms)
             return usable[0] if usable else None
-        return min(sound, key=lambda b: self._busyness(b, now_ms))
+        return min(healthy, key=lambda b: self._relative_load(b, now_ms))
 
     def choose_engines(
         self,
         service: Service,
         now_ms: int,
-        avoid: frozenset[str] = frozenset(),
+        excluded: frozenset[str] = frozenset(),
         first_not: frozenset[str] = frozenset(),
         after: PathPart | None = None,
     ) -> Path | NoPath:
         """Returns a path over the engines of a service.
 
         Args:
-            service: The service; it has a model.
-            now_ms: Time now.
-            avoid: Engines that must not be on the path.
-            first_not: Engines that it must not begin with.
-            after: First part that is kept.
+            service: The service; it must have a model.
+            now_ms: Current time.
+            excluded: Names of engines that must not be on the path.
+            first_not: Names of engines that the path must not start with.
+            after: First part to retain, if the path of a running request is
+                changed.
+
+        Returns:
+            The path, or the first layer that no usable engine holds.
         """
         engines = [
-            self._priced(e)
+            self._with_slowdown(e)
             for e in self.engines(service, now_ms)
-            if e.name not in avoid
-            and not self._met[e.name].failures
+            if e.name not in excluded
+            and not self._states[e.name].failures
             and not self.is_excluded(e.name, now_ms)
         ]
         return choose_path(
@@ -242,11 +307,12 @@
         )
 
     def engines(self, service: Service, now_ms: int) -> list[Engine]:
-        """Returns a service's engines with the layers they hold.
+        """Returns the engines of a service with the layers they hold.
 
-        An engine whose load this entry has ordered counts as loading until
-        the list shows the layers, or the time for it is over; after that for
-        as long as the engine says that it is busy.
+        An engine that this gateway has ordered to load layers counts as
+        loading until it is known to hold them or the order's deadline has
+        passed. After the deadline it counts as loading for as long as it
+        reports that it is busy.
         """
         found = []
         for backend in self.backends(service.name):
@@ -257,16 +323,19 @@
         return found
 
     def _engine(self, backend: BackendServer, kind, now_ms: int) -> Engine:
-        met = self._met[backend.name]
+        state = self._states[backend.name]
         holds = backend.holds
-        if self._told_is_newer(met):
-            holds = met.told_holds
-        loading = met.busy_until_ms > now_ms
-        if met.placed is not None:
-            if met.placed == holds or now_ms >= met.placed_until_ms:
-                met.placed = None
+        if self._report_is_newer(state):
+            holds = state.reported_layers
+        loading = state.busy_until_ms > now_ms
+        if state.ordered_layers is not None:
+            if (
+                state.ordered_layers == holds
+                or now_ms >= state.order_deadline_ms
+            ):
+                state.ordered_layers = None
             else:
-                holds = met.placed
+                holds = state.ordered_layers
                 loading = True
         return Engine(
             backend.name,
@@ -275,126 +344,163 @@
             kind,
             holds,
             loading,
-            met.uncertain_until_ms > now_ms,
+            state.late_order_until_ms > now_ms,
         )
 
     def on_placed(
-        self, name: str, layers: LayerRange, now_ms: int, for_ms: int
+        self, name: str, layers: LayerRange, now_ms: int, timeout_ms: int
     ) -> None:
-        """Notes that an engine was ordered to hold layers.
+        """Records that an engine has begun an order to hold layers.
 
-        It has begun the order, so that an earlier one finds another number of
-        orders and does nothing.
+        Beginning it increased the engine's order count. An earlier order that
+        is still on its way no longer matches that count and is rejected, so
+        the engine isn't uncertain any more.
+
+        Args:
+            name: The engine.
+            layers: Layers that it is to hold.
+            now_ms: Current time.
+            timeout_ms: Time after which the order is no longer waited for.
         """
-        met = self._met[name]
-        met.placed = layers
-        met.placed_until_ms = now_ms + for_ms
-        met.uncertain_until_ms = 0
+        state = self._states[name]
+        state.ordered_layers = layers
+        state.order_deadline_ms = now_ms + timeout_ms
+        state.late_order_until_ms = 0
 
     def on_busy(self, name: str, now_ms: int) -> None:
-        """Notes that an engine says it is carrying out an order."""
-        self._met[name].busy_until_ms = now_ms + _BUSY_KEPT_MS
+        """Records that an engine reports that it is carrying out an order."""
+        self._states[name].busy_until_ms = now_ms + _BUSY_TTL_MS
 
     def on_order_unanswered(self, name: str, now_ms: int) -> None:
-        """Notes that an order sent now, or some time ago, got no answer.
+        """Records that an order to an engine got no response.
 
-        Guards against relying on an engine for layers that it gives up later,
-        when the order is carried out after all.
+        The engine must not be relied on for its layers: it gives them up if
+        the order is carried out after all.
+
+        Args:
+            name: The engine.
+            now_ms: When the order was sent.
         """
-        met = self._met[name]
+        state = self._states[name]
         until_ms = now_ms + _LATE_ORDER_MS
-        met.uncertain_until_ms = max(met.uncertain_until_ms, until_ms)
+        state.late_order_until_ms = max(state.late_order_until_ms, until_ms)
 
     def unanswered_orders(self, now_ms: int) -> dict[str, int]:
-        """Returns engines with unanswered orders, with the age in ms."""
+        """Returns unanswered orders that may still be carried out.
+
+        Returns:
+            Age of the order in ms, by name of the engine.
+        """
         return {
-            name: now_ms - (met.uncertain_until_ms - _LATE_ORDER_MS)
-            for name, met in self._met.items()
-            if met.uncertain_until_ms > now_ms
+            name: now_ms - (state.late_order_until_ms - _LATE_ORDER_MS)
+            for name, state in self._states.items()
+            if state.late_order_until_ms > now_ms
         }
 
     def on_report(
         self, name: str, holds: LayerRange | None, now_ms: int
     ) -> None:
-        """Takes what an engine itself says it holds.
+        """Records the layers that an engine itself reports to hold.
 
-        Guards against the list, which names the layers of before a crash
-        until the next heartbeat: requests would be turned away.
+        After a crash the listing names the former layers until the next
+        heartbeat, and requests sent by it would be rejected.
+
+        Args:
+            name: The engine.
+            holds: Layers that it reported; None if it reported none.
+            now_ms: When it reported them.
         """
         backend = self._listing.backends.get(name)
         if holds is None or backend is None:
             return
-        met = self._met[name]
-        if now_ms < met.told_holds_ms:
+        state = self._states[name]
+        if now_ms < state.layers_reported_ms:
             return
-        met.told_holds = holds
-        met.told_holds_ms = now_ms
+        state.reported_layers = holds
+        state.layers_reported_ms = now_ms
 
     def recent_reports(self, now_ms: int) -> dict[str, tuple[LayerRange, int]]:
-        """Returns layers that engines told lately, with the age in ms."""
+        """Returns the layers that engines recently reported to hold.
+
+        Returns:
+            Layers and age of the report in ms, by name of the engine.
+        """
         return {
-            name: (met.told_holds, now_ms - met.told_holds_ms)
-            for name, met in self._met.items()
-            if met.told_holds is not None
-            and now_ms - met.told_holds_ms < _TELL_ON_MS
+            name: (state.reported_layers, now_ms - state.layers_reported_ms)
+            for name, state in self._states.items()
+            if state.reported_layers is not None
+            and now_ms - state.layers_reported_ms < _REPORT_SHARING_MS
         }
 
-    def _told_is_newer(self, met: _Met) -> bool:
-        """Returns whether an engine's own word goes before the list's."""
-        if met.told_holds is None:
+    def _report_is_newer(self, state: _BackendState) -> bool:
+        """Returns whether an engine's own report overrides the listing."""
+        if state.reported_layers is None:
             return False
-        return self._listed_ms < met.told_holds_ms + _HEARD_KEPT_MS
+        return self._listed_ms < state.layers_reported_ms + _LISTING_LAG_MS
 
-    def on_slowdown(self, name: str, pace: float, told_ms: int) -> bool:
-        """Takes how many times slower than its kind an engine says it is.
+    def on_slowdown(self, name: str, pace: float, reported_ms: int) -> bool:
+        """Records the slowdown that an engine reports.
 
         Args:
             name: The engine.
-            pace: How many times slower; 1 if it isn't.
-            told_ms: When it said so. What it said later goes before it.
+            pace: Time that it needs, as a multiple of the time that engines
+                of its kind need; 1 if it is not slow.
+            reported_ms: When it reported this. A report older than the last
+                one is ignored.
 
         Returns:
-            Whether that is news.
+            Whether the slowdown has changed.
         """
-        met = self._met[name]
-        if told_ms < met.pace_ms:
+        state = self._states[name]
+        if reported_ms < state.pace_ms:
             return False
-        news = met.pace != pace
-        met.pace = pace
-        met.pace_ms = told_ms
-        met.pace_until_ms = self._next_question_ms(told_ms)
-        return news
+        changed = state.pace != pace
+        state.pace = pace
+        state.pace_ms = reported_ms
+        state.pace_probe_ms = self._next_probe_ms(reported_ms)
+        return changed
 
     def recent_slowdowns(self, now_ms: int) -> dict[str, tuple[float, int]]:
-        """Returns how slow engines said they are, with the age in ms."""
+        """Returns the slowdowns that engines recently reported.
+
+        Returns:
+            Slowdown and age of the report in ms, by name of the engine.
+        """
         return {
-            name: (met.pace, now_ms - met.pace_ms)
-            for name, met in self._met.items()
-            if now_ms - met.pace_ms < _TELL_ON_MS
+            name: (state.pace, now_ms - state.pace_ms)
+            for name, state in self._states.items()
+            if now_ms - state.pace_ms < _REPORT_SHARING_MS
         }
 
-    def _next_question_ms(self, now_ms: int) -> int:
-        spread_ms = self._rng.randrange(_PACE_SPREAD_MS)
-        return now_ms + _PACE_KEPT_MS + spread_ms
+    def _next_probe_ms(self, now_ms: int) -> int:
+        jitter_ms = self._rng.randrange(_SLOWDOWN_PROBE_JITTER_MS)
+        return now_ms + _SLOWDOWN_PROBE_MS + jitter_ms
 
     def slowdown(self, name: str) -> float:
-        """Returns how many times slower than its kind an engine is."""
-        return self._met[name].pace
+        """Returns an engine's slowdown relative to its kind, 1 if not slow."""
+        return self._states[name].pace
 
     def slow_engines_due(self, now_ms: int) -> list[str]:
-        """Returns slow engines that are due to be asked again."""
+        """Returns slow engines that are due for a probe and schedules the next.
+
+        Args:
+            now_ms: Current time.
+
+        Returns:
+            Names of the engines.
+        """
         due = [
             name
-            for name, met in self._met.items()
-            if met.pace > 1.0 and met.pace_until_ms <= now_ms
+            for name, state in self._states.items()
+            if state.pace > 1.0 and state.pace_probe_ms <= now_ms
         ]
         for name in due:
-            self._met[name].pace_until_ms = self._next_question_ms(now_ms)
+            self._states[name].pace_probe_ms = self._next_probe_ms(now_ms)
         return due
 
-    def _priced(self, engine: Engine) -> Engine:
-        """Returns an engine with the slowness that it told."""
-        pace = self._met[engine.name].pace
+    def _with_slowdown(self, engine: Engine) -> Engine:
+        """Returns an engine whose step and read times include its slowdown."""
+        pace = self._states[engine.name].pace
         if pace <= 1.0:
             return engine
         kind = attrs.evolve(
@@ -405,114 +511,133 @@
         return attrs.evolve(engine, kind=kind)
 
     def on_loaded(self, name: str) -> None:
-        """Notes that an engine holds the layers that it was ordered to."""
-        met = self._met[name]
-        met.placed = None
-        met.busy_until_ms = 0
+        """Records that an engine has carried out its order."""
+        state = self._states[name]
+        state.ordered_layers = None
+        state.busy_until_ms = 0
 
     def is_excluded(self, name: str, now_ms: int) -> bool:
-        """Returns whether a backend server failed lately."""
-        met = self._met[name]
-        return met.avoid_until_ms > now_ms or met.full_until_ms > now_ms
+        """Returns whether a backend server is ejected or was full recently."""
+        state = self._states[name]
+        return state.ejected_until_ms > now_ms or state.full_until_ms > now_ms
 
     def failed_for_ms(self, name: str, now_ms: int) -> int:
-        """Returns for how long a backend server has only failed."""
-        met = self._met[name]
-        return now_ms - met.failed_since_ms if met.failures else 0
+        """Returns how long a backend server has been failing, 0 if not."""
+        state = self._states[name]
+        return now_ms - state.failed_since_ms if state.failures else 0
 
     def on_ended(self, name: str) -> None:
-        """Notes that a backend server's process has ended.
+        """Records that a backend server's process has ended.
 
-        What it held is gone, also if it starts again: its layers needn't be
-        waited for.
+        Its layers are lost even if it restarts, so they can be placed
+        elsewhere at once.
         """
-        self._met[name].ended = True
+        self._states[name].ended = True
 
     def has_ended(self, name: str) -> bool:
-        """Returns whether a backend server's process ended and isn't back."""
-        return self._met[name].ended
+        """Returns whether a process has ended and not responded since."""
+        return self._states[name].ended
 
     def is_failing(self, name: str) -> bool:
-        """Returns whether a backend server's last word was a failure."""
-        return self._met[name].failures > 0
+        """Returns whether the last exchange with a backend server failed."""
+        return self._states[name].failures > 0
 
     def due_for_probe(self, now_ms: int) -> list[BackendServer]:
-        """Returns backend servers whose failure is due to be looked into."""
+        """Returns failing backend servers whose ejection has expired."""
         return [
             b
             for b in self._listing.backends.values()
-            if self._met[b.name].failures
-            and self._met[b.name].avoid_until_ms <= now_ms
+            if self._states[b.name].failures
+            and self._states[b.name].ejected_until_ms <= now_ms
         ]
 
     def ejected(self, now_ms: int) -> list[str]:
-        """Returns the names of backend servers that seem gone."""
+        """Returns the names of backend servers that are ejected."""
         return [
             name
-            for name, met in self._met.items()
-            if met.failures and met.avoid_until_ms > now_ms
+            for name, state in self._states.items()
+            if state.failures and state.ejected_until_ms > now_ms
         ]
 
     def eject(self, name: str, now_ms: int) -> int:
-        """Notes a failure that says the backend server may be gone.
+        """Ejects a backend server after a failure that suggests it is gone.
+
+        Failures during an ejection don't extend it.
+
+        Args:
+            name: The backend server.
+            now_ms: Current time.
 
         Returns:
-            How long it is not sent to, in ms.
+            Remaining time of the ejection, in ms.
         """
-        met = self._met[name]
-        if met.avoid_until_ms > now_ms:
-            return met.avoid_until_ms - now_ms
-        for_ms = min(_AVOID_MOST_MS, AVOID_MS << min(met.failures, 4))
-        if not met.failures:
-            met.failed_since_ms = now_ms
-        met.failures += 1
-        met.avoid_until_ms = now_ms + for_ms
-        return for_ms
+        state = self._states[name]
+        if state.ejected_until_ms > now_ms:
+            return state.ejected_until_ms - now_ms
+        duration_ms = min(
+            _MAX_EJECTION_MS, _MIN_EJECTION_MS << min(state.failures, 4)
+        )
+        if not state.failures:
+            state.failed_since_ms = now_ms
+        state.failures += 1
+        state.ejected_until_ms = now_ms + duration_ms
+        return duration_ms
 
     def on_full(self, name: str, now_ms: int) -> None:
-        """Notes that a backend server had no room."""
-        met = self._met[name]
-        if met.full_until_ms > now_ms:
+        """Records that a backend server rejected a request as it is full."""
+        state = self._states[name]
+        if state.full_until_ms > now_ms:
             return
-        for_ms = min(_NO_ROOM_MOST_MS, _NO_ROOM_MS << min(met.refusals, 4))
-        met.refusals += 1
-        met.full_until_ms = now_ms + for_ms
+        duration_ms = min(
+            _MAX_FULL_BACKOFF_MS,
+            _MIN_FULL_BACKOFF_MS << min(state.refusals, 4),
+        )
+        state.refusals += 1
+        state.full_until_ms = now_ms + duration_ms
 
     def on_accepted(self, names: tuple[str, ...]) -> None:
-        """Notes that backend servers took a request."""
+        """Records that backend servers accepted a request."""
         for name in names:
-            self._met[name].refusals = 0
+            self._states[name].refusals = 0
 
     def on_response(
         self, name: str, running: int | None, waiting: int, now_ms: int
     ) -> None:
-        """Notes what an answer says of a backend server's load."""
-        met = self._met[name]
-        met.failures = 0
-        met.ended = False
-        met.avoid_until_ms = 0
+        """Records a response and the load it reports; ends an ejection.
+
+        Args:
+            name: The backend server.
+            running: Requests that it reports to run; None if it reports no
+                load.
+            waiting: Requests that it reports to be waiting.
+            now_ms: Current time.
+        """
+        state = self._states[name]
+        state.failures = 0
+        state.ended = False
+        state.ejected_until_ms = 0
         if running is not None:
-            met.running = running + waiting
-            met.told_ms = now_ms
+            state.running = running + waiting
+            state.load_reported_ms = now_ms
 
     def begin_request(self, name: str) -> None:
-        """Counts a request in flight."""
-        self._met[name].in_flight += 1
+        """Adds a request in flight to a backend server."""
+        self._states[name].in_flight += 1
 
     def end_request(self, name: str) -> None:
-        """Takes a request in flight off again."""
-        self._met[name].in_flight -= 1
+        """Removes a request in flight from a backend server."""
+        self._states[name].in_flight -= 1
 
-    def _busyness(self, backend: BackendServer, now_ms: int) -> float:
-        met = self._met[backend.name]
-        told = met.running if now_ms - met.told_ms < 500 else 0
-        load = max(met.in_flight, told) / max(1, backend.slots)
-        away = backend.data_centre != self._data_centre
-        return load + 0.1 * away + self._rng.random() * 0.05
+    def _relative_load(self, backend: BackendServer, now_ms: int) -> float:
+        state = self._states[backend.name]
+        reported = state.running if now_ms - state.load_reported_ms < 500 else 0
+        load = max(state.in_flight, reported) / max(1, backend.slots)
+        remote = backend.data_centre != self._data_centre
+        return load + 0.1 * remote + self._rng.random() * 0.05
 
 
 def warrants_ejection(failure: Failure) -> bool:
-    """Returns whether a failure says that the backend server may be gone."""
+    """Returns whether a failure suggests that a backend server is gone."""
     return failure in (
         Failure.CONNECT,
         Failure.REFUSED,
@@ -523,7 +648,11 @@
 
 
 def require_model(service: Service) -> ModelShape:
-    """Returns a service's model; the service must have one."""
+    """Returns the model of a service.
+
+    Raises:
+        AssertionError: If the service has no model.
+    """
     if service.model is None:
         raise AssertionError(f"service {service.name} has no model")
     return service.model
--- a/caroblug/gateway/tests/test_fleet.py
+++ b/caroblug/gateway/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""What a gateway believes of backend servers, from lists and meetings."""
+"""Tests the state that a gateway keeps of its backend servers."""
 
 import random
 
@@ -9,7 +9,7 @@
 from caroblug.gateway._fleet import Fleet
 
 POOL = Service("pool", "/health", 10, MODEL)
-DESK = Service("desk", "/health", 10)
+PLAIN = Service("desk", "/health", 10)
 
 
 def make_engine(name, first, end, leaving=False):
@@ -26,7 +26,7 @@
     )
 
 
-def make_desk(name, leaving=False):
+def make_plain_server(name, leaving=False):
     return BackendServer(name, "desk", ("10.0.0.2", 1), "a", leaving, 4)
 
 
@@ -44,23 +44,26 @@
     return path if isinstance(path, NoPath) else path.names
 
 
-def test_leaving_backend_servers_are_not_chosen():
-    fleet = make_fleet(make_desk("d1", leaving=True), make_desk("d2"))
+def test_draining_backend_servers_are_not_chosen():
+    fleet = make_fleet(
+        make_plain_server("d1", leaving=True), make_plain_server("d2")
+    )
 
     for _ in range(20):
-        assert fleet.choose_backend(DESK, set(), 0).name == "d2"
+        assert fleet.choose_backend(PLAIN, set(), 0).name == "d2"
 
 
-def test_older_list_is_left_out():
-    # Guards against requests to a backend server that only an older list names.
-    fleet = make_fleet(make_desk("d1"), end=5)
+def test_older_listing_is_ignored():
+    # Guards against requests to a backend server that has left and is named
+    # only by a stale read of the store.
+    fleet = make_fleet(make_plain_server("d1"), end=5)
 
-    assert not fleet.update_listing(list_of(make_desk("d0"), end=4), 10)
-    assert fleet.choose_backend(DESK, set(), 10).name == "d1"
+    assert not fleet.update_listing(list_of(make_plain_server("d0"), end=4), 10)
+    assert fleet.choose_backend(PLAIN, set(), 10).name == "d1"
 
 
-def test_equal_list_that_another_gateway_read_makes_ours_younger():
-    fleet = make_fleet(make_desk("d1"), now_ms=0)
+def test_equal_listing_read_by_another_gateway_refreshes_the_age():
+    fleet = make_fleet(make_plain_server("d1"), now_ms=0)
     digest = fleet.listing.digest
 
     fleet.confirm_listing("other", 9, 800)
@@ -69,7 +72,7 @@
     assert fleet.listing_age_ms(1000) == 200
 
 
-def test_failed_engine_is_on_no_path_until_it_answers():
+def test_ejected_engine_is_on_no_path_until_it_responds():
     fleet = make_fleet(make_engine("e1", 0, 80), make_engine("e2", 0, 80))
     fleet.eject("e1", 0)
 
@@ -81,7 +84,7 @@
     assert names(fleet.choose_engines(POOL, 10_002)) == ("e1",)
 
 
-def test_full_engine_is_passed_by_for_a_moment_only():
+def test_full_engine_is_excluded_for_a_limited_time():
     fleet = make_fleet(make_engine("e1", 0, 80))
     fleet.on_full("e1", 0)
 
@@ -90,8 +93,9 @@
     assert fleet.failed_for_ms("e1", 1000) == 0
 
 
-def test_engines_own_word_goes_before_an_old_list():
-    # Guards against requests to layers that an engine lost in a crash.
+def test_report_of_an_engine_overrides_an_older_listing():
+    # Guards against requests for layers that an engine lost in a crash, while
+    # the listing still names them.
     fleet = make_fleet(make_engine("e1", 0, 80), now_ms=0)
     fleet.on_report("e1", LayerRange(0, 0), 500)
 
@@ -100,7 +104,7 @@
     assert names(fleet.choose_engines(POOL, 1001)) == NoPath(0)
 
 
-def test_list_that_tells_other_layers_goes_before_an_older_word():
+def test_listing_with_changed_layers_overrides_an_older_report():
     fleet = make_fleet(make_engine("e1", 0, 40), now_ms=0)
     fleet.on_report("e1", LayerRange(0, 0), 500)
     fleet.update_listing(list_of(make_engine("e1", 0, 80), end=2), 900)
@@ -108,8 +112,9 @@
     assert names(fleet.choose_engines(POOL, 901)) == ("e1",)
 
 
-def test_engine_that_says_it_leaves_is_out_while_the_list_is_old():
-    # Guards against requests to engines that leave while the list is old.
+def test_engine_found_draining_is_excluded_while_the_listing_is_old():
+    # Guards against requests to draining engines while the listing can't be
+    # read.
     fleet = make_fleet(make_engine("e1", 0, 80), now_ms=0)
     fleet.on_leaving("e1", 5000)
 
@@ -128,37 +133,37 @@
     assert names(fleet.choose_engines(POOL, 2001)) == ("e1", "e2")
 
 
-def test_what_was_met_is_forgotten_after_the_server_has_gone():
-    fleet = make_fleet(make_desk("d1"))
+def test_state_of_an_unlisted_server_is_dropped():
+    fleet = make_fleet(make_plain_server("d1"))
     fleet.eject("d1", 0)
-    fleet.update_listing(list_of(make_desk("d2"), end=2), 60_000)
-    fleet.update_listing(list_of(make_desk("d1"), end=3), 60_001)
+    fleet.update_listing(list_of(make_plain_server("d2"), end=2), 60_000)
+    fleet.update_listing(list_of(make_plain_server("d1"), end=3), 60_001)
 
     assert not fleet.due_for_probe(60_002)
 
 
-def test_least_busy_desk_is_chosen():
-    fleet = make_fleet(make_desk("d1"), make_desk("d2"))
+def test_least_loaded_server_is_chosen():
+    fleet = make_fleet(make_plain_server("d1"), make_plain_server("d2"))
     fleet.on_response("d1", 4, 4, 0)
 
-    assert fleet.choose_backend(DESK, set(), 10).name == "d2"
-    assert fleet.choose_backend(DESK, {"d2"}, 10).name == "d1"
-    assert fleet.choose_backend(DESK, {"d1", "d2"}, 10) is None
+    assert fleet.choose_backend(PLAIN, set(), 10).name == "d2"
+    assert fleet.choose_backend(PLAIN, {"d2"}, 10).name == "d1"
+    assert fleet.choose_backend(PLAIN, {"d1", "d2"}, 10) is None
 
 
 def test_engine_that_goes_on_refusing_is_asked_less_often():
-    # Guards against repeats that are used up on one full engine.
+    # Guards against one full engine using up the retry budget.
     fleet = make_fleet(make_engine("x", 0, 80))
-    asked = 0
+    sent = 0
     for now_ms in range(0, 6000, 50):
         if not fleet.is_excluded("x", now_ms):
             fleet.on_full("x", now_ms)
-            asked += 1
+            sent += 1
 
-    assert asked <= 7
+    assert sent <= 7
 
 
-def test_engine_that_has_room_again_is_asked_at_once_after_the_next_refusal():
+def test_accepted_request_resets_the_backoff_of_a_full_engine():
     fleet = make_fleet(make_engine("x", 0, 80))
     fleet.on_full("x", 0)
     fleet.on_full("x", 400)
@@ -170,7 +175,8 @@
 
 
 def test_engine_that_has_loaded_is_used_at_once():
-    # Guards against a second without an engine that was busy until now.
+    # Guards against an engine that stays unused for up to a second after its
+    # load, as its last report of being busy has not expired.
     fleet = make_fleet(make_engine("e1", 0, 0), now_ms=0)
     fleet.on_placed("e1", LayerRange(0, 80), 1000, 5000)
     fleet.on_busy("e1", 2000)
