--- a/caroblug/gateway/_liveness.py
+++ b/caroblug/gateway/_liveness.py
@@ -1,14 +1,16 @@
-"""Finding out at once that an engine on the path of a stream has died.
-
-The first engine of a path is the only one that a gateway talks to. When a
-later one dies, nothing is reset here: events just stop, and the first engine's
-report names the dead one some hundred ms later. Two looks are quicker:
-
-- An idle connection to each engine in use. The end of a process closes it, and
-  a new one is refused; an engine that merely closed an idle connection takes
-  the next one.
-- The newest event of all streams over an engine. An engine without power, or
-  behind a cut, closes nothing, but all its streams stop together.
+"""Failure detection for the engines on the paths of running streams.
+
+A gateway exchanges data only with the first engine of a path. When a later one
+dies, no connection of the gateway is reset: events stop, and the first
+engine's report names the dead one only some hundred ms later. Two checks are
+faster:
+
+- An idle connection to each engine in use. It closes when the process ends,
+  and a new connection is refused. An engine that merely closed an idle
+  connection accepts the next one.
+- The time of the newest event of all streams over an engine. An engine that
+  has lost power or is partitioned off closes no connection, but all its
+  streams stall together.
 """
 
 from collections.abc import Callable
@@ -22,56 +24,64 @@
 from caroblug.gateway._running import EngineUse, RunningStreams
 from caroblug.gateway._spacing import Spacing
 
-_CONNECT_S = 0.25
-_LOOK_S = 1.0
-"""How often a watch looks whether its engine is still in use."""
+_CONNECT_TIMEOUT_S = 0.25
+_IN_USE_CHECK_S = 1.0
+"""Interval at which a watch checks that its engine is still in use, in s."""
+
+_WATCH_RETENTION_MS = 5000
+"""Time for which an engine stays watched after its last stream, in ms. Paths
+return to it within that time, and each new connection has a cost."""
 
-_KEPT_MS = 5000
-"""How long an engine is watched after its last stream, in ms: paths come back
-to it within that time, and a new connection is paid for."""
+_CHECK_INTERVAL_S = 0.02
+_MANY_STREAMS = 4
+"""Streams over an engine from which a short stall of all of them is enough to
+probe it. A single stream often pauses while the engine reads the prompt of
+another gateway's stream."""
 
-_TICK_S = 0.02
-_MANY = 4
-_SILENT_MANY_MS = 60
-"""Pause of all streams over an engine, four at least, after which it is
-asked."""
+_STALL_MANY_MS = 60
+"""Stall of all streams over an engine that has many, in ms, after which it is
+probed."""
 
-_SILENT_FEW_MS = 120
-"""The same for fewer streams; a pause of 200 ms makes a stream late."""
+_STALL_FEW_MS = 120
+"""The same for fewer streams. A pause of 200 ms makes a stream late."""
 
-_SILENT_GAPS = 2.0
-"""The same in times of the streams' own gap, where that is more: streams over a
-slow engine would be taken for silent between any two events."""
+_STALL_GAPS = 2.0
+"""The same as a multiple of the streams' mean gap between events, if that is
+longer. Streams over a slow engine would otherwise look stalled between any two
+events."""
 
-_PROBE_S = 0.04
-"""Bound on the answer to such a question. The longest way inside a region and
-back is some 2 ms, and an engine accepts within 1 ms."""
+_PROBE_TIMEOUT_S = 0.04
+"""Timeout of a probe, in s. The longest round trip inside a region takes about
+2 ms, and an engine accepts a connection within 1 ms."""
 
-_PROBES = 2
-"""Connections tried at once; one alone fails with each lost packet."""
+_PROBE_CONNECTIONS = 2
+"""Connections that a probe opens in parallel. A single one would fail with
+each lost packet."""
 
-_CONTROLS = 2
-"""Engines whose streams go on that are asked beside silent ones."""
+_CONTROL_PROBES = 2
+"""Engines with running streams that are probed beside the stalled ones, as a
+control group."""
 
-_ASK_AGAIN_MS = 400
-"""Shortest time between two such questions to one engine."""
+_MIN_PROBE_INTERVAL_MS = 400
+"""Minimum time between two probes of the same engine, in ms."""
 
 
 def _connect(engine: Engine) -> Failure | None:
-    """Opens and closes a connection; returns what went wrong, if anything."""
+    """Opens and closes a connection; returns the failure, if any."""
     exchange = Exchange(engine.address)
-    problem = exchange.connect(_PROBE_S)
+    problem = exchange.connect(_PROBE_TIMEOUT_S)
     exchange.close()
     return problem.failure if problem is not None else None
 
 
 class LivenessMonitor:
-    """Watches the engines on the paths of running streams.
+    """Detects engines that die on the paths of running streams.
 
     Args:
-        context: What the gateway's parts share.
-        running: Streams that run.
-        connect: Opens and closes a connection to an engine.
+        context: State that the gateway's components share.
+        running: Running streams of this gateway.
+        connect: Opens and closes a connection to an engine and returns the
+            failure, if any.
     """
 
     def __init__(
@@ -84,113 +94,125 @@
         self._running = running
         self._connect = connect
         self._used_ms: dict[str, int] = {}
-        self._asked = Spacing(_ASK_AGAIN_MS)
+        self._probe_spacing = Spacing(_MIN_PROBE_INTERVAL_MS)
 
     def run(self) -> None:
-        """Looks after running streams until the process ends."""
+        """Checks the engines in use until the process ends."""
         while True:
-            gevent.sleep(_TICK_S)
-            self.look()
+            gevent.sleep(_CHECK_INTERVAL_S)
+            self.check_once()
 
-    def look(self) -> None:
-        """Looks once at every engine that is in use."""
+    def check_once(self) -> None:
+        """Checks every engine in use once and probes those that stall."""
         now_ms = self._context.clock.now_ms()
-        silent = []
-        sound = []
+        stalled = []
+        healthy = []
         for use in self._running.uses():
             name = use.engine.name
-            if name in self._used_ms or self._is_worth_a_watch(use):
-                self._keep_watch(use.engine, now_ms)
-            if now_ms - use.event_ms < _silent_ms(use):
-                sound.append(use.engine)
-            elif self._asked.allows(name, now_ms):
-                silent.append(use.engine)
-        if silent:
-            others = self._context.rng.sample(sound, min(len(sound), _CONTROLS))
-            gevent.spawn(self._ask, silent, others)
-
-    def _is_worth_a_watch(self, use: EngineUse) -> bool:
-        """Returns whether an engine is watched by a connection of its own.
-
-        Engines of other data centres are used for some streams and a moment,
-        while each watch is a connection that is paid for.
+            if name in self._used_ms or self._should_watch(use):
+                self._refresh_watch(use.engine, now_ms)
+            if now_ms - use.event_ms < _stall_threshold_ms(use):
+                healthy.append(use.engine)
+            elif self._probe_spacing.allows(name, now_ms):
+                stalled.append(use.engine)
+        if stalled:
+            controls = self._context.rng.sample(
+                healthy, min(len(healthy), _CONTROL_PROBES)
+            )
+            gevent.spawn(self._probe_stalled, stalled, controls)
+
+    def _should_watch(self, use: EngineUse) -> bool:
+        """Returns whether to watch an engine by an idle connection.
+
+        Engines of remote data centres serve a few streams for a short time,
+        while each watch costs a connection.
         """
-        home = self._context.settings.data_centre
-        return use.engine.data_centre == home or use.streams >= _MANY
+        local = self._context.settings.data_centre
+        return use.engine.data_centre == local or use.streams >= _MANY_STREAMS
 
-    def _keep_watch(self, engine: Engine, now_ms: int) -> None:
+    def _refresh_watch(self, engine: Engine, now_ms: int) -> None:
         if engine.name not in self._used_ms:
             gevent.spawn(self._watch, engine)
         self._used_ms[engine.name] = now_ms
 
     def _watch(self, engine: Engine) -> None:
-        """Keeps a connection to an engine for as long as it is in use."""
+        """Holds an idle connection to an engine while it is in use."""
         while self._in_use(engine):
             exchange = Exchange(engine.address)
-            problem = exchange.connect(_CONNECT_S)
+            problem = exchange.connect(_CONNECT_TIMEOUT_S)
             if problem is None:
-                while self._in_use(engine) and exchange.is_open(_LOOK_S):
+                while self._in_use(engine) and exchange.is_open(
+                    _IN_USE_CHECK_S
+                ):
                     pass
                 exchange.close()
                 continue
             if problem.failure is Failure.REFUSED:
                 self._running.on_engine_lost(engine, ended=True)
-            self._wait_until_back(engine)
+            self._wait_for_recovery(engine)
         del self._used_ms[engine.name]
 
-    def _wait_until_back(self, engine: Engine) -> None:
-        """Waits while an engine is known to fail: others ask it meanwhile."""
+    def _wait_for_recovery(self, engine: Engine) -> None:
+        """Waits while an engine is failing.
+
+        `SuspectProbes` probes it meanwhile.
+        """
         fleet = self._context.fleet
-        gevent.sleep(_CONNECT_S)
+        gevent.sleep(_CONNECT_TIMEOUT_S)
         while self._in_use(engine) and fleet.is_failing(engine.name):
-            gevent.sleep(_CONNECT_S)
+            gevent.sleep(_CONNECT_TIMEOUT_S)
 
     def _in_use(self, engine: Engine) -> bool:
         now_ms = self._context.clock.now_ms()
-        return now_ms - self._used_ms[engine.name] < _KEPT_MS
+        return now_ms - self._used_ms[engine.name] < _WATCH_RETENTION_MS
 
-    def _ask(self, silent: list[Engine], others: list[Engine]) -> None:
-        """Finds out which silent engines take no connection any more.
+    def _probe_stalled(
+        self, stalled: list[Engine], controls: list[Engine]
+    ) -> None:
+        """Probes stalled engines and reports those that accept no connection.
 
-        Guards against the gateway's own link: while it is full or broken
-        nobody answers, and every stream would be moved for nothing. What is
-        seen counts only if most of those that are asked answer, engines whose
-        streams go on among them.
+        While the gateway's own link is saturated or broken, every probe
+        fails, and all streams would be moved without need. So the failures
+        count only if at least half of the probed engines respond, controls
+        included.
 
         Args:
-            silent: Engines whose streams have all paused.
-            others: Engines that are asked for comparison.
+            stalled: Engines whose streams have all stalled.
+            controls: Engines with running streams, probed for comparison.
         """
-        asked = silent + others
-        tries = [gevent.spawn(self._probe, engine) for engine in asked]
-        gevent.joinall(tries)
+        probed = stalled + controls
+        jobs = [gevent.spawn(self._probe_engine, engine) for engine in probed]
+        gevent.joinall(jobs)
         self._context.tallies.count("engine_probes")
         failures = {
             engine.name: job.value
-            for engine, job in zip(asked, tries, strict=True)
+            for engine, job in zip(probed, jobs, strict=True)
             if job.value is not None
         }
-        if len(failures) * 2 > len(asked):
+        if len(failures) * 2 > len(probed):
             self._context.tallies.count("engine_probes_not_believed")
             return
-        for engine in silent:
+        for engine in stalled:
             failure = failures.get(engine.name)
             if failure is not None:
                 ended = failure is Failure.REFUSED
                 self._running.on_engine_lost(engine, ended)
 
-    def _probe(self, engine: Engine) -> Failure | None:
-        """Tries to connect; returns what went wrong if no try succeeds."""
-        tries = [gevent.spawn(self._connect, engine) for _ in range(_PROBES)]
-        gevent.joinall(tries)
-        failures = [job.value for job in tries]
+    def _probe_engine(self, engine: Engine) -> Failure | None:
+        """Opens connections in parallel; returns a failure if all fail."""
+        jobs = [
+            gevent.spawn(self._connect, engine)
+            for _ in range(_PROBE_CONNECTIONS)
+        ]
+        gevent.joinall(jobs)
+        failures = [job.value for job in jobs]
         if None in failures:
             return None
         refused = Failure.REFUSED in failures
         return Failure.REFUSED if refused else failures[0]
 
 
-def _silent_ms(use: EngineUse) -> float:
-    """Returns the pause after which an engine is asked."""
-    least_ms = _SILENT_MANY_MS if use.streams >= _MANY else _SILENT_FEW_MS
-    return max(least_ms, use.gap_ms * _SILENT_GAPS)
+def _stall_threshold_ms(use: EngineUse) -> float:
+    """Returns the stall after which an engine is probed, in ms."""
+    min_ms = _STALL_MANY_MS if use.streams >= _MANY_STREAMS else _STALL_FEW_MS
+    return max(min_ms, use.gap_ms * _STALL_GAPS)
--- a/caroblug/gateway/tests/test_liveness.py
+++ b/caroblug/gateway/tests/test_liveness.py
@@ -1,4 +1,4 @@
-"""Engines that die on the path of running streams, without sockets."""
+"""Tests the detection of dead engines on running streams, without sockets."""
 
 import itertools
 
@@ -16,7 +16,7 @@
 
 
 class FakeStream(RunningStream):
-    """A stream over engines x and y that notes what it is told."""
+    """A stream over the named engines that records which it loses."""
 
     def __init__(
         self, event_ms: int, *names: str, gap_ms: float = 30.0
@@ -52,139 +52,143 @@
 
 
 class Site:
-    """A gateway's streams, and engines that answer as a test says."""
+    """A gateway's streams, and engines whose probes fail as a test sets."""
 
     def __init__(self, *streams: FakeStream) -> None:
         self.clock = ManualClock(100_000)
         self.context = make_context(clock=self.clock)
         self.running = RunningStreams(self.context)
         self.streams = streams
-        self.answers: dict[str, Failure] = {}
-        self.asked: list[str] = []
+        self.failures: dict[str, Failure] = {}
+        self.probed: list[str] = []
         self.liveness = LivenessMonitor(
             self.context, self.running, self._connect
         )
-        # Watches need sockets; the engines count as watched.
+        # Watches need sockets, so they are replaced by a stub.
         self.liveness._watch = lambda engine: None
         for stream in streams:
             self.running.add(stream)
 
     def _connect(self, engine):
-        self.asked.append(engine.name)
-        return self.answers.get(engine.name)
+        self.probed.append(engine.name)
+        return self.failures.get(engine.name)
 
-    def look(self) -> None:
-        self.liveness.look()
+    def check_once(self) -> None:
+        self.liveness.check_once()
         gevent.idle()
         gevent.sleep(0)
         gevent.wait()
 
 
-def test_engine_without_power_is_found_by_the_pause_of_all_its_streams():
-    # Guards against late streams over an engine that has lost power.
+def test_engine_without_power_is_detected_by_the_stall_of_all_its_streams():
+    # Guards against late streams over an engine that has lost power, which
+    # closes no connection.
     streams = [FakeStream(100_000, "x", "y") for _ in range(5)]
     site = Site(*streams)
-    site.answers["y"] = Failure.CONNECT
+    site.failures["y"] = Failure.CONNECT
 
     site.clock.advance(60)
-    site.look()
+    site.check_once()
 
     assert all(s.lost == [("y", False)] for s in streams)
     assert site.context.fleet.is_excluded("y", site.clock.now_ms())
     assert not site.context.fleet.is_excluded("x", site.clock.now_ms())
 
 
-def test_engine_whose_other_streams_go_on_is_not_asked():
-    # Guards against paid questions about engines that serve other streams.
+def test_engine_whose_other_streams_progress_is_not_probed():
+    # Guards against the cost of probing engines that serve other streams.
     waiting = FakeStream(100_000, "x", "y")
     others = [FakeStream(100_070, "x", "z") for _ in range(4)]
     site = Site(waiting, *others)
 
     site.clock.advance(100)
-    site.look()
+    site.check_once()
 
-    assert site.asked == []
+    assert site.probed == []
 
 
-def test_few_streams_say_less_than_many():
-    # A stream alone often pauses for the prompt of another gateway's stream.
+def test_few_streams_must_stall_longer_than_many():
+    # A single stream often pauses while the engine reads the prompt of another
+    # gateway's stream.
     site = Site(FakeStream(100_000, "x"))
 
     site.clock.advance(100)
-    site.look()
-    assert site.asked == []
+    site.check_once()
+    assert site.probed == []
 
     site.clock.advance(30)
-    site.look()
-    assert set(site.asked) == {"x"}
+    site.check_once()
+    assert set(site.probed) == {"x"}
 
 
-def test_engines_of_slow_streams_are_not_asked_between_two_events():
-    # Guards against thousands of connections while many engines are slow.
+def test_engines_of_slow_streams_are_not_probed_between_two_events():
+    # Guards against thousands of probe connections while many engines are slow.
     site = Site(FakeStream(100_000, "x", "y", gap_ms=200.0))
 
     site.clock.advance(300)
-    site.look()
-    assert site.asked == []
+    site.check_once()
+    assert site.probed == []
 
     site.clock.advance(150)
-    site.look()
-    assert set(site.asked) == {"x", "y"}
+    site.check_once()
+    assert set(site.probed) == {"x", "y"}
 
 
-def test_silent_engine_that_takes_connections_is_left_alone():
-    # Guards against streams moved off an engine that reads a long prompt.
+def test_stalled_engine_that_accepts_connections_keeps_its_streams():
+    # Guards against moving streams off an engine that is reading a long prompt.
     streams = [FakeStream(100_000, "x") for _ in range(5)]
     site = Site(*streams)
 
     site.clock.advance(100)
-    site.look()
+    site.check_once()
 
-    assert site.asked == ["x", "x"]
+    assert site.probed == ["x", "x"]
     assert all(s.lost == [] for s in streams)
 
 
-def test_one_lost_packet_is_no_dead_engine():
-    # Guards against an engine that is condemned for one lost packet.
+def test_one_lost_packet_does_not_eject_an_engine():
+    # Guards against ejecting an engine because one packet was lost.
     streams = [FakeStream(100_000, "x") for _ in range(5)]
     site = Site(*streams)
     answers = itertools.cycle([Failure.CONNECT, None])
     site.liveness._connect = lambda engine: next(answers)
 
     site.clock.advance(100)
-    site.look()
+    site.check_once()
 
     assert all(s.lost == [] for s in streams)
 
 
 def test_nobody_is_dead_when_nobody_answers():
-    # Guards against streams moved off every engine while the own link is full.
+    # Guards against moving streams off every engine while the gateway's own
+    # link is saturated.
     streams = [FakeStream(100_000, "x", "y", "z") for _ in range(5)]
     site = Site(*streams)
-    site.answers = dict.fromkeys("xyz", Failure.CONNECT)
+    site.failures = dict.fromkeys("xyz", Failure.CONNECT)
 
     site.clock.advance(100)
-    site.look()
+    site.check_once()
 
     assert all(s.lost == [] for s in streams)
 
 
-def test_engine_alone_on_its_paths_is_compared_with_others():
-    # Guards against streams that stay, as a silent engine can't be compared.
-    silent = [FakeStream(100_000, "x") for _ in range(5)]
-    others = [FakeStream(100_100, "y"), FakeStream(100_100, "z")]
-    site = Site(*silent, *others)
-    site.answers["x"] = Failure.CONNECT
+def test_engine_alone_on_its_paths_is_probed_with_a_control_group():
+    # Guards against streams that stay on a dead engine because no other engine
+    # was probed for comparison.
+    stalled = [FakeStream(100_000, "x") for _ in range(5)]
+    controls = [FakeStream(100_100, "y"), FakeStream(100_100, "z")]
+    site = Site(*stalled, *controls)
+    site.failures["x"] = Failure.CONNECT
 
     site.clock.advance(100)
-    site.look()
+    site.check_once()
 
-    assert all(s.lost == [("x", False)] for s in silent)
-    assert set(site.asked) == {"x", "y", "z"}
+    assert all(s.lost == [("x", False)] for s in stalled)
+    assert set(site.probed) == {"x", "y", "z"}
 
 
-def test_engines_far_away_are_watched_only_for_many_streams():
-    # Guards against paid connections to every far engine that a stream passes.
+def test_remote_engines_are_watched_only_for_many_streams():
+    # Guards against the cost of a connection to every remote engine on a path.
     streams = [FakeStream(100_000, "x") for _ in range(3)]
     site = Site(*streams)
     watched = []
@@ -193,27 +197,27 @@
         site.context.settings, data_centre="elsewhere"
     )
 
-    site.look()
+    site.check_once()
     assert watched == []
 
     site.running.add(FakeStream(100_000, "x"))
-    site.look()
+    site.check_once()
     assert watched == ["x"]
 
 
-def test_questions_to_one_engine_keep_a_distance():
+def test_probes_of_one_engine_keep_a_minimum_interval():
     site = Site(*[FakeStream(100_000, "x") for _ in range(5)])
 
     for _ in range(10):
         site.clock.advance(20)
-        site.look()
+        site.check_once()
 
-    assert len(site.asked) == 2
+    assert len(site.probed) == 2
 
 
 @pytest.mark.parametrize("ended", [True, False])
-def test_ended_process_has_lost_its_layers_and_a_silent_one_may_not(ended):
-    # Guards against layers of a crashed engine that are placed anew too late.
+def test_only_an_ended_process_counts_as_having_lost_its_layers(ended):
+    # Guards against placing the layers of a crashed engine elsewhere too late.
     site = Site(FakeStream(100_000, "x", "y"))
 
     site.running.on_engine_lost(make_engine("y"), ended)
@@ -221,7 +225,7 @@
     assert site.context.fleet.has_ended("y") is ended
 
 
-def test_engine_that_answers_again_has_not_ended():
+def test_engine_that_responds_again_has_not_ended():
     site = Site(FakeStream(100_000, "x", "y"))
     site.running.on_engine_lost(make_engine("y"), ended=True)
 
@@ -231,7 +235,7 @@
     assert not site.context.fleet.is_failing("y")
 
 
-def test_stream_whose_run_has_ended_is_not_told():
+def test_removed_stream_is_not_notified_of_a_lost_engine():
     stream = FakeStream(100_000, "x", "y")
     site = Site(stream)
 
