--- a/caroblug/gateway/_slowness.py
+++ b/caroblug/gateway/_slowness.py
@@ -1,9 +1,10 @@
-"""Finding out that an engine has become slow.
+"""Detection of engines that have become slow.
 
-A slow engine answers and fails nothing: its streams only take several times as
-long, and keep memory as long on every other engine of their path. An engine
-says how slow it is when it is asked, but each question is paid for. So it is
-asked only while all streams over it have events far apart.
+A slow engine still responds and fails no request. Its streams only take several
+times as long, and for all that time they occupy memory on every other engine of
+their path. An engine's report states its slowdown, but each probe has a cost.
+So an engine is probed only while all streams over it have long gaps between
+their events.
 """
 
 import gevent
@@ -13,85 +14,87 @@
 from caroblug.gateway._running import EngineUse, RunningStreams
 from caroblug.gateway._spacing import Spacing
 
-_LOOK_S = 0.25
-_SUSPICIOUS = 1.5
-"""Times the usual gap between events from which engines are asked. It
-leaves room for a data centre that takes on another one's streams."""
+_CHECK_INTERVAL_S = 0.25
+_SUSPICIOUS_GAP_RATIO = 1.5
+"""Ratio of a gap between events to the baseline gap from which an engine is
+probed. It is high enough for a data centre that takes over the streams of
+another one."""
 
-_LEARN = 0.03
-"""Weight of a look in the usual gap; it follows within ten seconds."""
+_BASELINE_WEIGHT = 0.03
+"""Weight of one check in the moving average of the baseline gap. The baseline
+follows a change within ten seconds."""
 
-_LEARN_SUSPICIOUS = 0.002
-"""The same while gaps are suspicious: a gap that stays becomes usual within
-minutes, so that engines aren't asked for ever."""
+_SUSPICIOUS_WEIGHT = 0.002
+"""The same while the shortest gap is suspicious. A gap that persists becomes
+the baseline within minutes, so that probing ends."""
 
-_ASK_AGAIN_MS = 2000
-"""Shortest time between two such questions to one engine."""
+_MIN_PROBE_INTERVAL_MS = 2000
+"""Minimum time between two probes of the same engine, in ms."""
 
-SLOW_PACE = 1.4
-"""Reported slowness from which paths are priced by it; less is no more than
-the difference between two kinds of engines."""
+_MIN_SLOWDOWN = 1.4
+"""Reported slowdown from which path costs include it. Less is within the
+difference between two kinds of engines."""
 
 
 class SlownessDetector:
-    """Looks for slow engines on the paths of running streams.
+    """Detects slow engines on the paths of running streams.
 
     Args:
-        context: What the gateway's parts share.
-        running: Streams that run.
+        context: State that the gateway's components share.
+        running: Running streams of this gateway.
     """
 
     def __init__(self, context: Context, running: RunningStreams) -> None:
         self._context = context
         self._running = running
-        self._usual_ms = 0.0
-        self._asked = Spacing(_ASK_AGAIN_MS)
+        self._baseline_gap_ms = 0.0
+        self._probe_spacing = Spacing(_MIN_PROBE_INTERVAL_MS)
 
     def run(self) -> None:
-        """Looks after running streams until the process ends."""
+        """Checks the engines in use until the process ends."""
         while True:
-            gevent.sleep(_LOOK_S)
-            self.look()
+            gevent.sleep(_CHECK_INTERVAL_S)
+            self.check_once()
 
-    def look(self) -> None:
-        """Looks once, and asks engines that seem slow."""
+    def check_once(self) -> None:
+        """Checks the running streams once; probes engines that may be slow."""
         now_ms = self._context.clock.now_ms()
         for name in self._context.fleet.slow_engines_due(now_ms):
             backend = self._context.fleet.listing.backends.get(name)
             if backend is not None:
-                gevent.spawn(self._ask, name, backend.address)
+                gevent.spawn(self._probe, name, backend.address)
         uses = [use for use in self._running.uses() if use.gap_ms]
         if not uses:
             return
-        least_ms = min(use.gap_ms for use in uses)
-        self._learn(least_ms)
+        min_gap_ms = min(use.gap_ms for use in uses)
+        self._update_baseline(min_gap_ms)
         for use in uses:
-            if self._is_suspicious(use) and self._asked.allows(
+            if self._is_suspicious(use) and self._probe_spacing.allows(
                 use.engine.name, now_ms
             ):
-                gevent.spawn(self._ask, use.engine.name, use.engine.address)
+                gevent.spawn(self._probe, use.engine.name, use.engine.address)
 
-    def _learn(self, gap_ms: float) -> None:
-        """Takes the shortest gap of any stream into the usual one."""
-        if not self._usual_ms:
-            self._usual_ms = gap_ms
-        suspicious = gap_ms > self._usual_ms * _SUSPICIOUS
-        weight = _LEARN_SUSPICIOUS if suspicious else _LEARN
-        self._usual_ms += (gap_ms - self._usual_ms) * weight
+    def _update_baseline(self, gap_ms: float) -> None:
+        """Updates the baseline with the shortest gap of any stream."""
+        if not self._baseline_gap_ms:
+            self._baseline_gap_ms = gap_ms
+        suspicious = gap_ms > self._baseline_gap_ms * _SUSPICIOUS_GAP_RATIO
+        weight = _SUSPICIOUS_WEIGHT if suspicious else _BASELINE_WEIGHT
+        self._baseline_gap_ms += (gap_ms - self._baseline_gap_ms) * weight
 
     def _is_suspicious(self, use: EngineUse) -> bool:
-        return use.gap_ms > self._usual_ms * _SUSPICIOUS
+        return use.gap_ms > self._baseline_gap_ms * _SUSPICIOUS_GAP_RATIO
 
-    def _ask(self, name: str, address: tuple[str, int]) -> None:
+    def _probe(self, name: str, address: tuple[str, int]) -> None:
         context = self._context
         report = context.dialect.read_report(address)
         context.tallies.count("pace_questions")
         if isinstance(report, Unavailable):
-            # That it doesn't answer is for others to find out; how slow it
-            # is stays as it was believed to be.
+            # Missing responses are handled by the liveness checks. The last
+            # known slowdown stays in force.
             return
         now_ms = context.clock.now_ms()
-        slow = report.pace >= SLOW_PACE
+        slow = report.pace >= _MIN_SLOWDOWN
         if context.fleet.on_slowdown(
             name, report.pace if slow else 1.0, now_ms
         ):
@@ -99,5 +102,5 @@
                 "backend_server.pace",
                 backend_server=name,
                 pace=report.pace,
-                usual_gap_ms=round(self._usual_ms, 1),
+                usual_gap_ms=round(self._baseline_gap_ms, 1),
             )
--- a/caroblug/gateway/_stream_latency.py
+++ b/caroblug/gateway/_stream_latency.py
@@ -1,4 +1,4 @@
-"""When the events of a stream came, beside when they were due."""
+"""Latency of a stream's events, compared with its route's objectives."""
 
 import attrs
 
@@ -7,15 +7,16 @@
 
 @attrs.define
 class StreamLatency:
-    """Times of one stream's events, over all its runs.
+    """Latency of one stream's events, over all its runs.
 
     Attributes:
-        began_ms: When the request came.
-        first_ms: Time until its first event was passed on; None before.
-        pause_ms: Longest pause between two events that were passed on.
-        cause: What happened last before the first event or in the longest
-            pause, whichever makes the stream late; empty if nothing was seen.
-        engine: The engine that this concerns, if it concerns one.
+        began_ms: When the request arrived.
+        first_ms: Time until the first event was forwarded; None before that.
+        pause_ms: Longest pause between two forwarded events.
+        cause: Last incident before the first event. A pause that is the
+            longest so far replaces it by its own last incident, if it had
+            one. Empty if there was none.
+        engine: The engine that the incident concerns; empty if none.
     """
 
     began_ms: int
@@ -27,11 +28,16 @@
     _incident: tuple[str, str] = ("", "")
 
     def record_incident(self, cause: str, engine: str = "") -> None:
-        """Notes what may hold up the next event."""
+        """Records an incident that may delay the next event.
+
+        Args:
+            cause: What happened.
+            engine: The engine that it concerns; empty if none.
+        """
         self._incident = (cause, engine)
 
     def on_events(self, now_ms: int) -> None:
-        """Notes that events were passed on."""
+        """Records that events were forwarded to the caller."""
         if self.first_ms is None:
             self.first_ms = now_ms - self.began_ms
             self.cause, self.engine = self._incident
@@ -43,7 +49,11 @@
         self._incident = ("", "")
 
     def missed_objective(self, route: Route) -> str:
-        """Returns which objective of a route was missed; empty if none."""
+        """Returns the objective of a route that the stream missed.
+
+        Returns:
+            "first_event", "pause", or an empty string if none was missed.
+        """
         if self.first_ms is None:
             return ""
         if self.first_ms > route.goal_ms:
--- a/caroblug/gateway/_suspect_probes.py
+++ b/caroblug/gateway/_suspect_probes.py
@@ -1,4 +1,4 @@
-"""Asking backend servers that failed whether they are back."""
+"""Probes of backend servers that have failed or are suspected to."""
 
 import gevent
 
@@ -6,61 +6,64 @@
 from caroblug.gateway._interfaces import BackendServer, Unavailable
 from caroblug.gateway._spacing import Spacing
 
-_EVERY_S = 0.1
-_OLD_LIST_MS = 1800
-"""Age of the list from which it is taken to be out of date: the longest pause
-between two reads, and a failed one."""
+_CHECK_INTERVAL_S = 0.1
+_STALE_LISTING_MS = 1800
+"""Age from which the listing counts as out of date, in ms: the longest interval
+between two reads plus one failed read."""
 
-_ASK_AGAIN_MS = 1000
-"""Shortest time between two looks at an engine that did not fail here."""
+_MIN_PROBE_INTERVAL_MS = 1000
+"""Minimum time between two probes of an engine that did not fail at this
+gateway, in ms."""
 
 
 class SuspectProbes:
-    """Asks engines that failed for a report before they get work again.
+    """Probes failed engines before they are readmitted.
 
-    Guards against requests as probes: each request sent to an engine that is
-    still down loses the wait for a connection, with dozens of them a second.
-    Backend servers of plain services have no report; their time runs out.
+    A probe reads the engine's report. Without probes, requests would have to
+    find out whether an engine is back: dozens of them a second would each lose
+    the time of a connection attempt to an engine that is still down. Backend
+    servers of services without a model give no report and are readmitted when
+    their ejection expires.
 
     Args:
-        context: What the gateway's parts share.
+        context: State that the gateway's components share.
     """
 
     def __init__(self, context: Context) -> None:
         self._context = context
-        self._asked = Spacing(_ASK_AGAIN_MS)
-        self._asking: set[str] = set()
+        self._probe_spacing = Spacing(_MIN_PROBE_INTERVAL_MS)
+        self._probing: set[str] = set()
 
     def run(self) -> None:
-        """Looks for engines that are due until the process ends."""
+        """Probes the engines that are due until the process ends."""
         while True:
-            gevent.sleep(_EVERY_S)
+            gevent.sleep(_CHECK_INTERVAL_S)
             now_ms = self._context.clock.now_ms()
             for backend in self._context.fleet.due_for_probe(now_ms):
                 self.probe(backend)
             names = set(self._context.engines_to_probe)
             self._context.engines_to_probe.clear()
-            self._look_into(names, now_ms)
+            self._probe_suspects(names, now_ms)
 
-    def _look_into(self, names: set[str], now_ms: int) -> None:
-        """Asks engines that others take to be gone or that turned away."""
+    def _probe_suspects(self, names: set[str], now_ms: int) -> None:
+        """Probes engines that peers suspect or that rejected a request."""
         fleet = self._context.fleet
         for name in names:
             backend = fleet.listing.backends.get(name)
             if backend is None or backend.holds is None:
                 continue
-            if self._asked.allows(name, now_ms):
+            if self._probe_spacing.allows(name, now_ms):
                 self.probe(backend)
 
     def probe(self, backend: BackendServer) -> None:
-        """Asks one backend server, unless it is being asked."""
-        if backend.name in self._asking:
+        """Starts a probe of a backend server, unless one is in progress."""
+        if backend.name in self._probing:
             return
-        self._asking.add(backend.name)
-        gevent.spawn(self._ask, backend)
+        self._probing.add(backend.name)
+        gevent.spawn(self._run_probe, backend)
 
-    def _ask_health(self, backend: BackendServer) -> None:
-        """Finds out whether a backend server leaves, as the list can't say."""
+    def _check_draining(self, backend: BackendServer) -> None:
+        """Checks whether a server is draining while the listing is stale."""
         context = self._context
         known = context.configuration
         service = known.services.get(backend.service) if known else None
@@ -79,7 +82,7 @@
                 ),
             )
 
-    def _ask(self, backend: BackendServer) -> None:
+    def _run_probe(self, backend: BackendServer) -> None:
         context = self._context
         try:
             if backend.holds is None:
@@ -89,7 +92,7 @@
                 return
             report = context.dialect.read_report(backend.address)
         finally:
-            self._asking.discard(backend.name)
+            self._probing.discard(backend.name)
         now_ms = context.clock.now_ms()
         was_failing = context.fleet.failed_for_ms(backend.name, now_ms) > 0
         if isinstance(report, Unavailable):
@@ -97,8 +100,8 @@
             return
         context.fleet.on_response(backend.name, None, 0, now_ms)
         context.fleet.on_report(backend.name, report.holds, now_ms)
-        if context.fleet.listing_age_ms(now_ms) > _OLD_LIST_MS:
-            self._ask_health(backend)
+        if context.fleet.listing_age_ms(now_ms) > _STALE_LISTING_MS:
+            self._check_draining(backend)
         if not was_failing:
             return
         context.log.write(
--- a/caroblug/gateway/tests/test_slowness.py
+++ b/caroblug/gateway/tests/test_slowness.py
@@ -1,4 +1,4 @@
-"""Engines that become slow under running streams, without sockets."""
+"""Tests the detection of slow engines on running streams, without sockets."""
 
 import attrs
 import gevent
@@ -12,7 +12,7 @@
 
 
 class SlowStream(FakeStream):
-    """A stream whose events are some ms apart."""
+    """A stream with a given mean gap between its events."""
 
     def __init__(self, gap_ms: float, *names: str) -> None:
         super().__init__(0, *names)
@@ -24,7 +24,7 @@
 
 
 class Site:
-    """Engines x and y that hold every layer, and streams over them."""
+    """Engines x and y, each with all layers, and streams over them."""
 
     def __init__(self, *streams: SlowStream) -> None:
         self.clock = ManualClock(100_000)
@@ -40,21 +40,21 @@
             self.running.add(stream)
         self.slowness = SlownessDetector(self.context, self.running)
 
-    def say(self, name: str, pace: float) -> None:
+    def report_pace(self, name: str, pace: float) -> None:
         reports = self.context.dialect.reports
         address = self.addresses[name]
         reports[address] = attrs.evolve(reports[address], pace=pace)
 
-    def look(self, times: int = 1) -> None:
+    def check(self, times: int = 1) -> None:
         for _ in range(times):
             self.clock.advance(250)
-            self.slowness.look()
+            self.slowness.check_once()
             gevent.wait()
 
-    def asked(self) -> bool:
+    def has_probed(self) -> bool:
         return b"pace_questions" in self.context.tallies.expose()
 
-    def paths(self) -> set[str]:
+    def chosen_engines(self) -> set[str]:
         now_ms = self.clock.now_ms()
         fleet = self.context.fleet
         chosen = (fleet.choose_engines(POOL, now_ms) for _ in range(20))
@@ -62,77 +62,79 @@
 
 
 def test_streams_avoid_an_engine_that_has_become_slow():
-    # Guards against streams, and memory on their paths, behind a slow engine.
+    # Guards against streams that wait for a slow engine and meanwhile occupy
+    # memory on the other engines of their paths.
     stream = SlowStream(30.0, "x")
     site = Site(stream)
-    site.look(8)
-    assert not site.asked()
+    site.check(8)
+    assert not site.has_probed()
 
     stream.gap = 70.0
-    site.say("x", 8.0)
-    site.look()
+    site.report_pace("x", 8.0)
+    site.check()
 
-    assert site.paths() == {"y"}
+    assert site.chosen_engines() == {"y"}
 
 
-def test_engine_that_is_only_busy_is_not_taken_for_slow():
+def test_busy_engine_is_not_treated_as_slow():
     stream = SlowStream(30.0, "x")
     site = Site(stream)
-    site.look(8)
+    site.check(8)
 
     stream.gap = 70.0
-    site.look()
+    site.check()
 
-    assert site.asked()
-    assert site.paths() == {"x", "y"}
+    assert site.has_probed()
+    assert site.chosen_engines() == {"x", "y"}
 
 
 def test_recovered_engine_is_used_again():
-    # Guards against an engine that is avoided for good after it was slow once.
+    # Guards against avoiding an engine forever after it was slow once.
     stream = SlowStream(30.0, "x")
     site = Site(stream)
-    site.look(8)
+    site.check(8)
     stream.gap = 70.0
-    site.say("x", 8.0)
-    site.look()
+    site.report_pace("x", 8.0)
+    site.check()
     site.running.remove(stream)
 
-    site.say("x", 1.0)
-    site.look(10)
+    site.report_pace("x", 1.0)
+    site.check(10)
 
-    assert site.paths() == {"x", "y"}
+    assert site.chosen_engines() == {"x", "y"}
 
 
-def test_slow_engine_among_quick_streams_is_found_by_its_own():
+def test_slow_engine_is_detected_by_its_own_streams():
     slow = SlowStream(80.0, "x")
     site = Site(slow, SlowStream(30.0, "y"))
-    site.say("x", 5.0)
+    site.report_pace("x", 5.0)
 
-    site.look()
+    site.check()
 
-    assert site.paths() == {"y"}
+    assert site.chosen_engines() == {"y"}
 
 
 def test_slow_engine_that_another_gateway_found_is_avoided():
-    # Guards against a search by each of many gateways, each with few streams.
+    # Guards against each gateway having to detect the slow engine by its own
+    # few streams.
     finder, other = Site(SlowStream(30.0, "x")), Site()
-    finder.look(8)
+    finder.check(8)
     finder.streams[0].gap = 70.0
-    finder.say("x", 8.0)
-    finder.look()
+    finder.report_pace("x", 8.0)
+    finder.check()
     other.clock.advance(finder.clock.now_ms() - other.clock.now_ms())
 
     for name, (pace, age_ms) in finder.context.fleet.recent_slowdowns(
         finder.clock.now_ms()
     ).items():
-        told_ms = other.clock.now_ms() - age_ms
-        other.context.fleet.on_slowdown(name, pace, told_ms)
+        reported_ms = other.clock.now_ms() - age_ms
+        other.context.fleet.on_slowdown(name, pace, reported_ms)
 
-    assert other.paths() == {"y"}
+    assert other.chosen_engines() == {"y"}
 
 
-def test_older_word_of_a_slow_engine_loses_to_a_newer_one():
-    # Guards against an engine that is avoided again after it has recovered.
+def test_older_report_of_a_slowdown_is_ignored():
+    # Guards against avoiding an engine again after it has recovered.
     site = Site()
     fleet = site.context.fleet
     now_ms = site.clock.now_ms()
@@ -140,4 +142,4 @@
 
     fleet.on_slowdown("x", 8.0, now_ms - 500)
 
-    assert site.paths() == {"x", "y"}
+    assert site.chosen_engines() == {"x", "y"}
--- a/caroblug/gateway/tests/test_stream_latency.py
+++ b/caroblug/gateway/tests/test_stream_latency.py
@@ -1,4 +1,4 @@
-"""When events came, and what made a stream late."""
+"""Tests the latency of streams and the recorded cause of a late one."""
 
 from caroblug.core.access import Route, RouteKind
 from caroblug.gateway._stream_latency import StreamLatency
@@ -8,7 +8,7 @@
 )
 
 
-def test_stream_with_a_long_pause_names_what_happened_in_it():
+def test_long_pause_is_attributed_to_its_incident():
     times = StreamLatency(1000)
     times.on_events(1080)
     times.on_events(1120)
@@ -22,7 +22,7 @@
     assert (times.cause, times.engine) == ("path changed", "e7")
 
 
-def test_late_first_event_goes_before_a_pause():
+def test_late_first_event_takes_precedence_over_a_pause():
     times = StreamLatency(0)
     times.record_incident("turned away with 503", "e1")
     times.on_events(600)
@@ -32,7 +32,7 @@
     assert times.cause == "turned away with 503"
 
 
-def test_stream_without_an_event_is_not_called_late():
+def test_stream_without_an_event_is_not_late():
     assert StreamLatency(0).missed_objective(ROUTE) == ""
 
 
