--- a/caroblug/entry/_suspects.py
+++ b/caroblug/entry/_suspects.py
@@ -6,7 +6,7 @@
 from gevent import event
 
 from caroblug.core.limits import (
-    Homes,
+    HomeEntries,
     RunGate,
     Suspicion,
     Suspicions,
@@ -51,7 +51,7 @@
     def __init__(
         self,
         network: PeerNetwork,
-        homes: Homes,
+        homes: HomeEntries,
         rule: Callable[[], Quarantine],
         clock: Clock,
         metrics: Metrics,
@@ -84,7 +84,7 @@
 
     def alone_until(self, fingerprint: str) -> int:
         """Returns the position up to which a request is to run alone."""
-        return self._known.alone_until(fingerprint, self._clock.now_ms())
+        return self._known.isolate_until(fingerprint, self._clock.now_ms())
 
     def refusal(self, fingerprint: str, ran: Ran) -> Refused | None:
         """Returns the refusal of a quarantined request, else None."""
@@ -181,7 +181,7 @@
         if not self._known.on_suspicion(suspicion, now_ms):
             return
         self._metrics.count("suspicions")
-        self._gate.doubt(suspicion.fingerprint)
+        self._gate.revoke_proved(suspicion.fingerprint)
         self._pass_on(suspicion)
         after = self._known.verdict(suspicion.fingerprint, now_ms)
         if after is Verdict.QUARANTINED and before is not after:
@@ -273,7 +273,7 @@
     ) -> None:
         now_ms = self._clock.now_ms()
         if proved:
-            for waiting in self._gate.prove(fingerprint, now_ms):
+            for waiting in self._gate.mark_proved(fingerprint, now_ms):
                 self._admit(fingerprint, waiting)
             return
         following = self._gate.leave(fingerprint, ticket, now_ms)
@@ -289,7 +289,7 @@
         entry = self._askers.get(ticket.entry)
         if entry is None:
             return
-        known = self._known.known(fingerprint, self._clock.now_ms())
+        known = self._known.for_request(fingerprint, self._clock.now_ms())
         self._network.send(
             entry,
             wire.RunAdmitted(
@@ -308,7 +308,7 @@
             )
 
     def _tell_sides(self, fingerprint: str) -> None:
-        known = self._known.known(fingerprint, self._clock.now_ms())
+        known = self._known.for_request(fingerprint, self._clock.now_ms())
         self._network.broadcast(
             _SIDE_ROLE, *(suspicion_to_wire(s) for s in known)
         )
--- a/caroblug/gateway/_fleet.py
+++ b/caroblug/gateway/_fleet.py
@@ -20,8 +20,8 @@
     PathPart,
     choose_path,
 )
+from caroblug.gateway._exchange_results import FailureKind
 from caroblug.gateway._interfaces import BackendServer, Listing
-from caroblug.gateway._outcomes import Failure
 
 _MIN_EJECTION_MS = 500
 """Time for which a failed backend server gets no requests, in ms. It doubles
@@ -273,7 +273,7 @@
         service: Service,
         now_ms: int,
         excluded: frozenset[str] = frozenset(),
-        first_not: frozenset[str] = frozenset(),
+        excluded_first: frozenset[str] = frozenset(),
         after: PathPart | None = None,
     ) -> Path | NoPath:
         """Returns a path over the engines of a service.
@@ -282,7 +282,7 @@
             service: The service; it must have a model.
             now_ms: Current time.
             excluded: Names of engines that must not be on the path.
-            first_not: Names of engines that the path must not start with.
+            excluded_first: Names of engines that the path must not start with.
             after: First part to retain, if the path of a running request is
                 changed.
 
@@ -302,7 +302,7 @@
             self._loads,
             self._data_centre,
             self._rng,
-            first_not,
+            excluded_first,
             after,
         )
 
@@ -505,8 +505,8 @@
             return engine
         kind = attrs.evolve(
             engine.kind,
-            step_pace=engine.kind.step_pace * pace,
-            read_pace=engine.kind.read_pace * pace,
+            step_time_factor=engine.kind.step_time_factor * pace,
+            prefill_time_factor=engine.kind.prefill_time_factor * pace,
         )
         return attrs.evolve(engine, kind=kind)
 
@@ -636,14 +636,14 @@
         return load + 0.1 * remote + self._rng.random() * 0.05
 
 
-def warrants_ejection(failure: Failure) -> bool:
+def warrants_ejection(failure: FailureKind) -> bool:
     """Returns whether a failure suggests that a backend server is gone."""
     return failure in (
-        Failure.CONNECT,
-        Failure.REFUSED,
-        Failure.RESET,
-        Failure.SILENT,
-        Failure.CUT_SHORT,
+        FailureKind.CONNECT,
+        FailureKind.REFUSED,
+        FailureKind.RESET,
+        FailureKind.SILENT,
+        FailureKind.CUT_SHORT,
     )
 
 
--- a/caroblug/gateway/_liveness.py
+++ b/caroblug/gateway/_liveness.py
@@ -19,10 +19,10 @@
 
 from caroblug.core.placement import Engine
 from caroblug.gateway._context import Context
+from caroblug.gateway._exchange_results import FailureKind
 from caroblug.gateway._http_client import Exchange
-from caroblug.gateway._outcomes import Failure
-from caroblug.gateway._running import EngineUse, RunningStreams
-from caroblug.gateway._spacing import Spacing
+from caroblug.gateway._running_streams import EngineUse, RunningStreams
+from caroblug.gateway._throttle import Throttle
 
 _CONNECT_TIMEOUT_S = 0.25
 _IN_USE_CHECK_S = 1.0
@@ -66,7 +66,7 @@
 """Minimum time between two probes of the same engine, in ms."""
 
 
-def _connect(engine: Engine) -> Failure | None:
+def _connect(engine: Engine) -> FailureKind | None:
     """Opens and closes a connection; returns the failure, if any."""
     exchange = Exchange(engine.address)
     problem = exchange.connect(_PROBE_TIMEOUT_S)
@@ -88,13 +88,13 @@
         self,
         context: Context,
         running: RunningStreams,
-        connect: Callable[[Engine], Failure | None] = _connect,
+        connect: Callable[[Engine], FailureKind | None] = _connect,
     ) -> None:
         self._context = context
         self._running = running
         self._connect = connect
         self._used_ms: dict[str, int] = {}
-        self._probe_spacing = Spacing(_MIN_PROBE_INTERVAL_MS)
+        self._probe_spacing = Throttle(_MIN_PROBE_INTERVAL_MS)
 
     def run(self) -> None:
         """Checks the engines in use until the process ends."""
@@ -147,7 +147,7 @@
                     pass
                 exchange.close()
                 continue
-            if problem.failure is Failure.REFUSED:
+            if problem.failure is FailureKind.REFUSED:
                 self._running.on_engine_lost(engine, ended=True)
             self._wait_for_recovery(engine)
         del self._used_ms[engine.name]
@@ -183,22 +183,22 @@
         probed = stalled + controls
         jobs = [gevent.spawn(self._probe_engine, engine) for engine in probed]
         gevent.joinall(jobs)
-        self._context.tallies.count("engine_probes")
+        self._context.telemetry.count("engine_probes")
         failures = {
             engine.name: job.value
             for engine, job in zip(probed, jobs, strict=True)
             if job.value is not None
         }
         if len(failures) * 2 > len(probed):
-            self._context.tallies.count("engine_probes_not_believed")
+            self._context.telemetry.count("engine_probes_not_believed")
             return
         for engine in stalled:
             failure = failures.get(engine.name)
             if failure is not None:
-                ended = failure is Failure.REFUSED
+                ended = failure is FailureKind.REFUSED
                 self._running.on_engine_lost(engine, ended)
 
-    def _probe_engine(self, engine: Engine) -> Failure | None:
+    def _probe_engine(self, engine: Engine) -> FailureKind | None:
         """Opens connections in parallel; returns a failure if all fail."""
         jobs = [
             gevent.spawn(self._connect, engine)
@@ -208,8 +208,8 @@
         failures = [job.value for job in jobs]
         if None in failures:
             return None
-        refused = Failure.REFUSED in failures
-        return Failure.REFUSED if refused else failures[0]
+        refused = FailureKind.REFUSED in failures
+        return FailureKind.REFUSED if refused else failures[0]
 
 
 def _stall_threshold_ms(use: EngineUse) -> float:
--- a/caroblug/gateway/_slowness.py
+++ b/caroblug/gateway/_slowness.py
@@ -11,8 +11,8 @@
 
 from caroblug.gateway._context import Context
 from caroblug.gateway._interfaces import Unavailable
-from caroblug.gateway._running import EngineUse, RunningStreams
-from caroblug.gateway._spacing import Spacing
+from caroblug.gateway._running_streams import EngineUse, RunningStreams
+from caroblug.gateway._throttle import Throttle
 
 _CHECK_INTERVAL_S = 0.25
 _SUSPICIOUS_GAP_RATIO = 1.5
@@ -48,7 +48,7 @@
         self._context = context
         self._running = running
         self._baseline_gap_ms = 0.0
-        self._probe_spacing = Spacing(_MIN_PROBE_INTERVAL_MS)
+        self._probe_spacing = Throttle(_MIN_PROBE_INTERVAL_MS)
 
     def run(self) -> None:
         """Checks the engines in use until the process ends."""
@@ -88,7 +88,7 @@
     def _probe(self, name: str, address: tuple[str, int]) -> None:
         context = self._context
         report = context.dialect.read_report(address)
-        context.tallies.count("pace_questions")
+        context.telemetry.count("pace_questions")
         if isinstance(report, Unavailable):
             # Missing responses are handled by the liveness checks. The last
             # known slowdown stays in force.
--- a/caroblug/gateway/_stream_state.py
+++ b/caroblug/gateway/_stream_state.py
@@ -6,7 +6,7 @@
 from caroblug.gateway._context import Context
 from caroblug.gateway._events import EventPace, EventSequence
 from caroblug.gateway._http_client import Exchange
-from caroblug.gateway._pending import Pending
+from caroblug.gateway._pending_request import PendingRequest
 from caroblug.gateway._stream_latency import StreamLatency
 
 
@@ -29,7 +29,7 @@
     """
 
     context: Context
-    pending: Pending
+    pending: PendingRequest
     times: StreamLatency
     events: EventSequence
     path: Path | None = None
@@ -64,7 +64,7 @@
         self.lost = ""
         self._take_path(path)
         self._reading = path.names
-        self.context.fleet.loads.begin_reading(self._reading)
+        self.context.fleet.loads.begin_prefill(self._reading)
         self.exchange = Exchange(path.first.address)
         self.context.fleet.begin_request(path.first.name)
 
@@ -83,7 +83,7 @@
 
     def end_reading(self) -> None:
         """Notes that no engine has this run's prompt to read any more."""
-        self.context.fleet.loads.end_reading(self._reading)
+        self.context.fleet.loads.end_prefill(self._reading)
         self._reading = ()
 
     def avoid_engine(self, name: str, reason: str) -> None:
@@ -99,10 +99,12 @@
 
     def _take_path(self, path: Path) -> None:
         self.path = path
-        self.context.fleet.loads.open(path.names, self._mean_tokens())
+        self.context.fleet.loads.add_request(path.names, self._mean_tokens())
 
     def _leave_path(self) -> None:
-        self.context.fleet.loads.close(self.path.names, self._mean_tokens())
+        self.context.fleet.loads.remove_request(
+            self.path.names, self._mean_tokens()
+        )
 
     def _mean_tokens(self) -> int:
         """Returns the memory that the stream takes on the mean of its time.
@@ -114,7 +116,7 @@
         return max(1, caller.prompt_tokens + caller.answer_tokens // 2)
 
 
-def make_stream_state(context: Context, pending: Pending) -> StreamState:
+def make_stream_state(context: Context, pending: PendingRequest) -> StreamState:
     """Returns the state of a stream that has not run yet."""
     times = StreamLatency(pending.request.began_ms)
     pending.stream_latency = times
--- a/caroblug/gateway/_suspect_probes.py
+++ b/caroblug/gateway/_suspect_probes.py
@@ -4,7 +4,7 @@
 
 from caroblug.gateway._context import Context
 from caroblug.gateway._interfaces import BackendServer, Unavailable
-from caroblug.gateway._spacing import Spacing
+from caroblug.gateway._throttle import Throttle
 
 _CHECK_INTERVAL_S = 0.1
 _STALE_LISTING_MS = 1800
@@ -31,7 +31,7 @@
 
     def __init__(self, context: Context) -> None:
         self._context = context
-        self._probe_spacing = Spacing(_MIN_PROBE_INTERVAL_MS)
+        self._probe_spacing = Throttle(_MIN_PROBE_INTERVAL_MS)
         self._probing: set[str] = set()
 
     def run(self) -> None:
--- a/caroblug/gateway/tests/test_liveness.py
+++ b/caroblug/gateway/tests/test_liveness.py
@@ -8,9 +8,9 @@
 
 from caroblug.core.placement import LayerRange, Path, PathPart
 from caroblug.core.placement.tests.fleets import make_engine
+from caroblug.gateway._exchange_results import FailureKind
 from caroblug.gateway._liveness import LivenessMonitor
-from caroblug.gateway._outcomes import Failure
-from caroblug.gateway._running import RunningStream, RunningStreams
+from caroblug.gateway._running_streams import RunningStream, RunningStreams
 from caroblug.gateway.tests.fakes import make_context
 from caroblug.utils import ManualClock
 
@@ -59,7 +59,7 @@
         self.context = make_context(clock=self.clock)
         self.running = RunningStreams(self.context)
         self.streams = streams
-        self.failures: dict[str, Failure] = {}
+        self.failures: dict[str, FailureKind] = {}
         self.probed: list[str] = []
         self.liveness = LivenessMonitor(
             self.context, self.running, self._connect
@@ -85,7 +85,7 @@
     # closes no connection.
     streams = [FakeStream(100_000, "x", "y") for _ in range(5)]
     site = Site(*streams)
-    site.failures["y"] = Failure.CONNECT
+    site.failures["y"] = FailureKind.CONNECT
 
     site.clock.advance(60)
     site.check_once()
@@ -150,7 +150,7 @@
     # Guards against ejecting an engine because one packet was lost.
     streams = [FakeStream(100_000, "x") for _ in range(5)]
     site = Site(*streams)
-    answers = itertools.cycle([Failure.CONNECT, None])
+    answers = itertools.cycle([FailureKind.CONNECT, None])
     site.liveness._connect = lambda engine: next(answers)
 
     site.clock.advance(100)
@@ -164,7 +164,7 @@
     # link is saturated.
     streams = [FakeStream(100_000, "x", "y", "z") for _ in range(5)]
     site = Site(*streams)
-    site.failures = dict.fromkeys("xyz", Failure.CONNECT)
+    site.failures = dict.fromkeys("xyz", FailureKind.CONNECT)
 
     site.clock.advance(100)
     site.check_once()
@@ -178,7 +178,7 @@
     stalled = [FakeStream(100_000, "x") for _ in range(5)]
     controls = [FakeStream(100_100, "y"), FakeStream(100_100, "z")]
     site = Site(*stalled, *controls)
-    site.failures["x"] = Failure.CONNECT
+    site.failures["x"] = FailureKind.CONNECT
 
     site.clock.advance(100)
     site.check_once()
--- a/caroblug/gateway/tests/test_slowness.py
+++ b/caroblug/gateway/tests/test_slowness.py
@@ -3,7 +3,7 @@
 import attrs
 import gevent
 
-from caroblug.gateway._running import RunningStreams
+from caroblug.gateway._running_streams import RunningStreams
 from caroblug.gateway._slowness import SlownessDetector
 from caroblug.gateway.tests.fakes import make_context
 from caroblug.gateway.tests.test_fleet import POOL, list_of, make_engine
@@ -52,7 +52,7 @@
             gevent.wait()
 
     def has_probed(self) -> bool:
-        return b"pace_questions" in self.context.tallies.expose()
+        return b"pace_questions" in self.context.telemetry.expose()
 
     def chosen_engines(self) -> set[str]:
         now_ms = self.clock.now_ms()
