--- a/caroblug/gateway/tests/test_stream_latency.py
+++ b/caroblug/gateway/tests/test_stream_latency.py
@@ -39,7 +39,7 @@
     assert times.cause == "turned away with 503"
 
 
-def test_stream_without_an_event_is_not_late():
+def test_stream_without_an_event_is_not_called_late():
     assert StreamLatency(0).missed_objective(ROUTE) == ""
 
 
