--- a/caroblug/gateway/_fleet.py
+++ b/caroblug/gateway/_fleet.py
@@ -354,7 +354,7 @@
 
         Beginning it increased the engine's order count. An earlier order that
         is still on its way no longer matches that count and is rejected, so
-        the engine isn't uncertain any more.
+        no order to the engine is unconfirmed any more.
 
         Args:
             name: The engine.
--- a/caroblug/gateway/_placement.py
+++ b/caroblug/gateway/_placement.py
@@ -1,10 +1,11 @@
-"""Placing layers: one gateway at a time, by a lease of the platform's store.
-
-Whoever holds the lease compares what engines say they hold with the plan and
-gives the orders that are missing. The plan is worked out afresh each time, so
-a successor needs nothing of its predecessor. Each order names the number of
-orders the engine has begun: one that arrives late, from a holder that was
-paused or a call whose answer was lost, finds another number and does nothing.
+"""Placement of model layers on engines, by the holder of the placement lease.
+
+The platform's store grants the lease to one gateway at a time. Its holder
+compares the layers that engines report with the plan and sends the missing
+orders. The plan is computed anew each time, so a successor needs no state of
+its predecessor. Each order contains the number of orders that the engine has
+begun. An order that arrives late, from a holder that was paused or in a call
+whose response was lost, contains an outdated number and is rejected.
 """
 
 import gevent
@@ -27,46 +28,50 @@
 )
 from caroblug.gateway._peers import LeaseState, Peers
 
-_RENEW_MS = 800
-_LEASE_MS = 2600
-"""A holder that dies is followed within this time; three renewals may fail."""
+_RENEWAL_INTERVAL_MS = 800
+_LEASE_DURATION_MS = 2600
+"""Duration of the lease, in ms. A holder that dies is replaced within this
+time, and a holder may fail to renew three times in a row."""
 
-_PLAN_MS = 400
-"""How often the plan is compared with the fleet."""
+_PLAN_INTERVAL_MS = 400
+"""Time between two comparisons of the plan with the fleet, in ms."""
 
-_AT_ONCE = 12
-"""Orders given at the same time; each is two short calls."""
+_MAX_PARALLEL_ORDERS = 12
+"""Orders sent in parallel. Each takes two short calls."""
 
-_SETTLE_MS = 1500
-"""Time without a new engine after which a fleet that holds nothing is planned
-for: a heartbeat and some reads of the list."""
+_SETTLING_MS = 1500
+"""Time without a new engine after which a fleet without any layers is planned
+for, in ms: a heartbeat interval and some reads of the listing."""
 
-_LOST_MS = 700
-"""Time after which the layers of an engine that only fails are placed anew: a
-second look, half a second after the first, has failed as well. A data centre
-without a whole chain sends every request to others; a load for an engine that
-comes back whole after all costs less."""
+_REPLACEMENT_DELAY_MS = 700
+"""Time for which an engine must have been failing before its layers are placed
+on others, in ms. By then a second probe, half a second after the first failure,
+has failed as well. Loading layers for an engine that comes back intact after
+all costs less than waiting: a data centre without a complete chain sends every
+request to other data centres."""
 
-_TOO_SLOW = 3.0
-"""Slowness of an engine, in times its kind's, from which its layers are placed
-anew: callers notice each pause of the streams over it, and without another
-holder at home they all go elsewhere."""
+_MAX_SLOWDOWN = 3.0
+"""Slowdown of an engine, relative to its kind, from which its layers are placed
+on others. Callers notice each pause of the streams over it, and unless another
+engine of the data centre holds these layers, all streams there go to other data
+centres."""
 
 _LOAD_SLACK_MS = 2500
-"""Added to the time that a load should take before it is ordered again: others
-may load at the same time."""
+"""Added to the expected time of a load before the load is ordered again, in ms,
+as other engines may be loading at the same time."""
 
-_FOLLOW_S = 0.4
-"""How often an engine that loads is asked; a load takes one to two seconds."""
+_LOAD_POLL_INTERVAL_S = 0.4
+"""Time between two polls of an engine that is loading, in s. A load takes one
+to two seconds."""
 
 
 class PlacementController:
-    """Keeps the lease, and places layers while it is held.
+    """Renews the placement lease and places layers while it is held.
 
     Args:
-        context: What the gateway's parts share.
-        registry: The platform's list and group.
-        peers: Other gateways.
+        context: State that the gateway's components share.
+        registry: The platform's registry, which grants the lease.
+        peers: Exchange with other gateways.
     """
 
     def __init__(
@@ -75,174 +80,189 @@
         self._context = context
         self._registry = registry
         self._peers = peers
-        self._until_ms = -1
-        self._stays = False
+        self._lease_until_ms = -1
+        self._renewal_unanswered = False
         self._stopped = False
-        self._most_gateways = 0
-        self._listed = -1
+        self._max_gateways = 0
+        self._listed_engines = -1
         self._listed_ms = 0
 
     @property
-    def holder(self) -> bool:
-        """Whether this gateway may give orders now.
+    def holds_lease(self) -> bool:
+        """Whether this gateway holds the lease now.
 
-        The lease is counted from the moment before it was asked for, on a
-        clock that goes on while the instance is suspended: a holder that was
-        paused sees that its time is over before it does anything else.
+        The duration counts from the time just before the lease was requested,
+        on a clock that advances while the instance is suspended. A holder that
+        was paused therefore sees that its lease has expired before it does
+        anything else.
         """
-        return self._context.clock.now_ms() < self._until_ms
+        return self._context.clock.now_ms() < self._lease_until_ms
 
     @property
-    def acting(self) -> bool:
-        """Whether this gateway gives orders now, by lease or as a deputy.
-
-        While the store is away every lease runs out, and after the death of
-        a holder it takes seconds until the store names the next one; engines
-        go on failing meanwhile. So a holder whose renewal got no answer stays
-        until it hears of another one, and a deputy follows one that is gone.
-        Neither is agreed upon, and two gateways that can't hear each other may
-        both act. That does no harm: each order names the number of orders that
-        the engine has begun, so the engine itself takes the first and rejects
-        the second.
+    def is_active(self) -> bool:
+        """Whether this gateway sends orders now, as lease holder or standby.
+
+        While the store is unavailable every lease expires, and after the death
+        of a holder it takes seconds until the store names the next one, while
+        engines go on failing. So a holder whose renewal got no response remains
+        active until a peer reports that it holds the lease, and a standby
+        replaces a holder that is gone. Neither needs an agreement, and two
+        gateways that are partitioned from each other may both be active. This
+        does no harm: each order contains the number of orders that the engine
+        has begun, so the engine accepts the first and rejects the second.
         """
         if self._stopped:
             return False
         return (
-            self.holder or self._stays_on() or self._peers.is_acting_standby()
+            self.holds_lease
+            or self._retains_role()
+            or self._peers.is_acting_standby()
         )
 
-    def _stays_on(self) -> bool:
-        return self._stays and not self._peers.another_holds_lease()
+    def _retains_role(self) -> bool:
+        """Returns whether to stay active after an unanswered renewal."""
+        return (
+            self._renewal_unanswered and not self._peers.another_holds_lease()
+        )
 
     def run_lease(self) -> None:
         """Renews the lease until stopped."""
         while not self._stopped:
-            lost = self.renew()
+            lost = self.renew_lease()
             if not lost:
-                gevent.sleep(_RENEW_MS / 1000)
+                gevent.sleep(_RENEWAL_INTERVAL_MS / 1000)
 
-    def renew(self) -> bool:
+    def renew_lease(self) -> bool:
         """Renews the lease once.
 
         Returns:
-            Whether the store has given the lease to another gateway. That one
-            gets it when this one calls again; waiting a renewal would leave
-            nobody to place layers meanwhile.
+            Whether the store is passing the lease to another gateway. The
+            transfer takes effect when this gateway calls again. Waiting for
+            the renewal interval first would leave no gateway to place layers
+            meanwhile.
         """
-        asked_ms = self._context.clock.now_ms()
-        held = self.holder
-        lease = self._registry.renew_placement_lease(_LEASE_MS)
+        requested_ms = self._context.clock.now_ms()
+        held = self.holds_lease
+        lease = self._registry.renew_placement_lease(_LEASE_DURATION_MS)
         answered = not isinstance(lease, Unavailable)
         if answered:
-            self._until_ms = asked_ms + _LEASE_MS if lease.holder else -1
-            self._stays = False
+            self._lease_until_ms = (
+                requested_ms + _LEASE_DURATION_MS if lease.holder else -1
+            )
+            self._renewal_unanswered = False
             self._context.fleet.loads.gateways = lease.gateways
         elif held:
-            self._stays = True
-        self._peers.lease_state = self._state()
-        if held != self.holder:
-            self._context.log.write("placement.lease", held=self.holder)
+            self._renewal_unanswered = True
+        self._peers.lease_state = self._lease_state()
+        if held != self.holds_lease:
+            self._context.log.write("placement.lease", held=self.holds_lease)
         return answered and held and not lease.holder
 
-    def _state(self) -> LeaseState:
+    def _lease_state(self) -> LeaseState:
         if self._stopped:
             return LeaseState.LEAVING
-        held = self.holder or self._stays_on()
+        held = self.holds_lease or self._retains_role()
         return LeaseState.HELD if held else LeaseState.NONE
 
     def run_plan(self) -> None:
-        """Compares plan and fleet until stopped."""
-        acted = False
+        """Compares the plan with the fleet periodically until stopped."""
+        was_active = False
         while not self._stopped:
-            if self.acting != acted:
-                acted = self.acting
+            if self.is_active != was_active:
+                was_active = self.is_active
                 self._context.log.write(
                     "placement.acting",
-                    acting=acted,
-                    lease=self.holder,
+                    acting=was_active,
+                    lease=self.holds_lease,
                     gateways=self._peers.describe_lease_states(),
                 )
             self.plan_once()
-            gevent.sleep(_PLAN_MS / 1000)
+            gevent.sleep(_PLAN_INTERVAL_MS / 1000)
 
     def plan_once(self) -> None:
-        """Gives the orders that are missing, if they are this gateway's."""
+        """Sends the missing orders of all services if active."""
         configuration = self._context.configuration
-        if not self.acting or configuration is None:
+        if not self.is_active or configuration is None:
             return
         for service in configuration.services.values():
             if service.model is not None:
-                self._place(service)
+                self._place_layers(service)
 
     def stop(self) -> None:
-        """Gives the lease back."""
+        """Stops sending orders and releases the lease."""
         self._stopped = True
-        self._peers.lease_state = self._state()
-        if self.holder:
-            self._until_ms = -1
+        self._peers.lease_state = self._lease_state()
+        if self.holds_lease:
+            self._lease_until_ms = -1
             self._registry.release_placement_lease()
 
-    def _place(self, service: Service) -> None:
+    def _place_layers(self, service: Service) -> None:
         context = self._context
         now_ms = context.clock.now_ms()
-        engines = self._engines_to_count_on(service, now_ms)
-        if self._settling(engines, now_ms):
+        engines = self._reliable_engines(service, now_ms)
+        if self._is_settling(engines, now_ms):
             return
-        moves = plan_moves(engines, require_model(service), self._room(engines))
-        for start in range(0, len(moves), _AT_ONCE):
-            batch = moves[start : start + _AT_ONCE]
-            jobs = [gevent.spawn(self._move, service, move) for move in batch]
+        moves = plan_moves(
+            engines, require_model(service), self._requests_per_chain(engines)
+        )
+        for start in range(0, len(moves), _MAX_PARALLEL_ORDERS):
+            batch = moves[start : start + _MAX_PARALLEL_ORDERS]
+            jobs = [
+                gevent.spawn(self._execute_move, service, move)
+                for move in batch
+            ]
             gevent.joinall(jobs)
 
-    def _engines_to_count_on(
-        self, service: Service, now_ms: int
-    ) -> list[Engine]:
-        """Returns the engines whose layers needn't be placed anew.
+    def _reliable_engines(self, service: Service, now_ms: int) -> list[Engine]:
+        """Returns the engines whose layers needn't be placed on others.
 
-        One that has become slow isn't counted on, though it is used where
-        nobody else holds its layers. One that only fails is waited for, as
-        long as every layer has another
-        holder. Where it has none, each request is refused meanwhile: loading
-        the layers elsewhere costs less, even if the engine comes back whole.
+        An engine that has become slow is left out, though it still serves
+        where no other engine holds its layers. A failing engine is waited for
+        as long as every layer has another holder. Where a layer has none, every
+        request is rejected meanwhile, so loading it elsewhere costs less, even
+        if the engine comes back intact.
         """
         fleet = self._context.fleet
         engines = [
             e
             for e in fleet.engines(service, now_ms)
             if not fleet.has_ended(e.name)
-            and fleet.failed_for_ms(e.name, now_ms) < _LOST_MS
-            and fleet.slowdown(e.name) < _TOO_SLOW
+            and fleet.failed_for_ms(e.name, now_ms) < _REPLACEMENT_DELAY_MS
+            and fleet.slowdown(e.name) < _MAX_SLOWDOWN
         ]
-        sound = [e for e in engines if not fleet.is_failing(e.name)]
-        return engines if covers_model(sound, require_model(service)) else sound
+        healthy = [e for e in engines if not fleet.is_failing(e.name)]
+        return (
+            engines
+            if covers_model(healthy, require_model(service))
+            else healthy
+        )
 
-    def _room(self, engines: list[Engine]) -> int:
-        """Returns the requests that a chain keeps room for.
+    def _requests_per_chain(self, engines: list[Engine]) -> int:
+        """Returns the number of requests that a chain reserves memory for.
 
-        The most gateways ever seen count: after a loss of all of them few have
-        joined again, while their callers are all there.
+        It is based on the highest number of gateways seen. After all of them
+        were lost, only a few have joined again, while all callers are back.
         """
         gateways = self._context.fleet.loads.gateways
-        self._most_gateways = max(self._most_gateways, gateways)
+        self._max_gateways = max(self._max_gateways, gateways)
         data_centres = {e.data_centre for e in engines}
-        return compute_requests_per_chain(
-            self._most_gateways, len(data_centres)
-        )
+        return compute_requests_per_chain(self._max_gateways, len(data_centres))
 
-    def _settling(self, engines: list[Engine], now_ms: int) -> bool:
-        """Returns whether the first list is still growing.
+    def _is_settling(self, engines: list[Engine], now_ms: int) -> bool:
+        """Returns whether the first engines of a new fleet are still starting.
 
-        Guards against a plan for the few engines that were the first to
-        start: they would be filled to the brim and keep no room for requests.
+        A plan for only the engines that start first would fill their memory
+        with layers and leave none for requests.
         """
         if any(len(e.holds) for e in engines):
             return False
-        if len(engines) != self._listed:
-            self._listed = len(engines)
+        if len(engines) != self._listed_engines:
+            self._listed_engines = len(engines)
             self._listed_ms = now_ms
-        return now_ms - self._listed_ms < _SETTLE_MS
+        return now_ms - self._listed_ms < _SETTLING_MS
 
-    def _move(self, service: Service, move: Move) -> None:
+    def _execute_move(self, service: Service, move: Move) -> None:
+        """Sends the order of a move if current reports still agree with it."""
         context = self._context
         engine = move.engine
         report = context.dialect.read_report(engine.address)
@@ -271,7 +291,7 @@
         if report.busy:
             context.fleet.on_busy(engine.name, context.clock.now_ms())
             return
-        if not self._are_kept(move) or not self.acting:
+        if not self._are_layers_retained(move) or not self.is_active:
             return
         outcome = context.dialect.place(
             engine.address, move.target, report.orders, move.urgent
@@ -289,66 +309,70 @@
         )
         if outcome in (OrderOutcome.BEGUN, OrderOutcome.HOLDS):
             now_ms = context.clock.now_ms()
-            for_ms = int(load_ms + _LOAD_SLACK_MS)
-            context.fleet.on_placed(engine.name, move.target, now_ms, for_ms)
-            gevent.spawn(self._follow, move, now_ms + for_ms)
+            timeout_ms = int(load_ms + _LOAD_SLACK_MS)
+            context.fleet.on_placed(
+                engine.name, move.target, now_ms, timeout_ms
+            )
+            gevent.spawn(self._follow_load, move, now_ms + timeout_ms)
         elif outcome is OrderOutcome.UNKNOWN:
             now_ms = context.clock.now_ms()
             context.fleet.on_report(engine.name, report.holds, now_ms)
             context.fleet.on_order_unanswered(engine.name, now_ms)
 
-    def _are_kept(self, move: Move) -> bool:
-        """Returns whether others say that they hold what a move gives up.
+    def _are_layers_retained(self, move: Move) -> bool:
+        """Returns whether other engines report the layers that a move removes.
 
-        Guards against sending the last holder of a layer away: the list is a
-        heartbeat old, and another engine may have been ordered elsewhere
-        meanwhile, by a gateway that placed layers before this one, or by an
-        order that was carried out late.
+        The last holder of a layer must not be moved. The listing is up to a
+        heartbeat old, and another holder may have received an order since, by
+        a gateway that was active before this one or by an order that was
+        carried out late.
         """
         fleet = self._context.fleet
-        for keeper in move.remaining_holders:
-            report = self._context.dialect.read_report(keeper.address)
+        for holder in move.remaining_holders:
+            report = self._context.dialect.read_report(holder.address)
             now_ms = self._context.clock.now_ms()
             if isinstance(report, Unavailable):
-                self._context.engines_to_probe.add(keeper.name)
+                self._context.engines_to_probe.add(holder.name)
                 reason = report.message
             elif report.busy:
-                fleet.on_busy(keeper.name, now_ms)
+                fleet.on_busy(holder.name, now_ms)
                 reason = "busy"
-            elif report.holds != keeper.holds:
-                fleet.on_report(keeper.name, report.holds, now_ms)
+            elif report.holds != holder.holds:
+                fleet.on_report(holder.name, report.holds, now_ms)
                 reason = "holds other layers"
             else:
                 continue
             self._context.log.write(
                 "placement.not_kept",
                 backend_server=move.engine.name,
-                keeper=keeper.name,
+                keeper=holder.name,
                 reason=reason,
             )
             return False
         return True
 
-    def _follow(self, move: Move, end_ms: int) -> None:
-        """Asks an engine that loads until it holds its layers.
+    def _follow_load(self, move: Move, deadline_ms: int) -> None:
+        """Polls an engine that is loading until it holds its layers.
 
-        The list tells a heartbeat and a read later, two seconds during which
-        the layers would answer nobody; not at all while the store is away.
+        The listing shows them only after a heartbeat and a read, two seconds
+        in which the layers would serve no request, and not at all while the
+        store is unavailable.
 
         Args:
             move: The engine and its layers.
-            end_ms: When the load should have ended. An engine that is still
-                busy then is followed on: nobody may rely on what it held.
+            deadline_ms: When the load should have ended. An engine that is
+                still busy then is polled further, since the layers that it
+                held before must not be relied on.
         """
         context = self._context
         name = move.engine.name
         layers = [move.target.first, move.target.end]
         while not self._stopped:
-            gevent.sleep(_FOLLOW_S)
-            report = self._ask_loading(move.engine)
-            left_ms = end_ms - context.clock.now_ms()
-            known = not isinstance(report, Unavailable)
-            if known and not report.busy and report.holds == move.target:
+            gevent.sleep(_LOAD_POLL_INTERVAL_S)
+            report = self._poll_load(move.engine)
+            left_ms = deadline_ms - context.clock.now_ms()
+            responded = not isinstance(report, Unavailable)
+            if responded and not report.busy and report.holds == move.target:
                 context.fleet.on_loaded(name)
                 context.log.write(
                     "placement.loaded",
@@ -357,14 +381,14 @@
                     left_ms=left_ms,
                 )
                 return
-            if left_ms <= 0 and not (known and report.busy):
+            if left_ms <= 0 and not (responded and report.busy):
                 break
         context.log.write(
             "placement.not_loaded", backend_server=name, layers=layers
         )
 
-    def _ask_loading(self, engine: Engine) -> EngineReport | Unavailable:
-        """Asks an engine that was ordered to load, and notes what it says."""
+    def _poll_load(self, engine: Engine) -> EngineReport | Unavailable:
+        """Polls an engine that was ordered to load and records its report."""
         fleet = self._context.fleet
         report = self._context.dialect.read_report(engine.address)
         now_ms = self._context.clock.now_ms()
--- a/caroblug/gateway/tests/test_placement.py
+++ b/caroblug/gateway/tests/test_placement.py
@@ -84,17 +84,17 @@
         return PlacementLease(True, 2)
 
     registry.renew_placement_lease = slow_lease
-    placement.renew()
+    placement.renew_lease()
 
-    assert not placement.holder
+    assert not placement.holds_lease
 
 
 def test_holder_that_was_suspended_gives_no_order():
     clock = ManualClock(100_000)
     context, _, peers, placement = make_placement(clock=clock)
     with_engines(context, make_engine("e1", 0, 0), make_engine("e2", 0, 0))
-    placement.renew()
-    assert placement.acting
+    placement.renew_lease()
+    assert placement.is_active
     clock.advance(10_000)
     tell(peers, "g0", LeaseState.HELD, 0)
 
@@ -107,12 +107,12 @@
     context, registry, _, placement = make_placement()
     with_engines(context, make_engine("e1", 0, 0))
     registry.lease = PlacementLease(False, 2)
-    placement.renew()
+    placement.renew_lease()
 
-    assert not placement.acting
+    assert not placement.is_active
     registry.lease = PlacementLease(True, 2)
-    placement.renew()
-    assert placement.acting
+    placement.renew_lease()
+    assert placement.is_active
 
 
 def test_order_of_another_since_the_report_wins():
@@ -136,7 +136,7 @@
     with_engines(context, engine)
     context.fleet.update_listing(list_of(engine, end=2), context.clock.now_ms())
     context.dialect.add(engine.address, LayerRange(0, 16), orders=1)
-    placement.renew()
+    placement.renew_lease()
     placement.plan_once()
 
     assert context.dialect.orders == []
@@ -147,15 +147,15 @@
     clock = ManualClock(100_000)
     _, registry, peers, placement = make_placement("g2", clock)
     registry.lease = Unavailable("busy")
-    placement.renew()
+    placement.renew_lease()
     tell(peers, "g3", LeaseState.NONE)
-    assert not placement.acting
+    assert not placement.is_active
     clock.advance(3000)
-    assert placement.acting
+    assert placement.is_active
     tell(peers, "g1", LeaseState.NONE)
-    assert not placement.acting
+    assert not placement.is_active
     tell(peers, "g1", LeaseState.LEAVING)
-    assert placement.acting
+    assert placement.is_active
 
 
 def test_holder_heard_through_others_keeps_deputies_still():
@@ -164,17 +164,17 @@
     clock.advance(3000)
     tell(peers, "g5", LeaseState.NONE, holder_age_ms=400)
 
-    assert not placement.acting
+    assert not placement.is_active
 
 
 def test_leaving_holder_is_followed_at_once():
     clock = ManualClock(100_000)
     _, _, peers, placement = make_placement("g1", clock)
     tell(peers, "g0", LeaseState.HELD, 0)
-    assert not placement.acting
+    assert not placement.is_active
     tell(peers, "g0", LeaseState.LEAVING, 100)
 
-    assert placement.acting
+    assert placement.is_active
 
 
 def test_word_of_a_holder_that_has_left_is_not_believed():
@@ -186,7 +186,7 @@
     clock.advance(200)
     tell(peers, "g5", LeaseState.NONE, holder_age_ms=500)
 
-    assert placement.acting
+    assert placement.is_active
 
 
 def test_next_holder_is_believed():
@@ -197,7 +197,7 @@
     clock.advance(900)
     tell(peers, "g5", LeaseState.HELD, 0)
 
-    assert not placement.acting
+    assert not placement.is_active
 
 
 def test_gateway_that_has_just_started_has_heard_of_no_holder():
@@ -205,12 +205,12 @@
     clock = ManualClock(100_000)
     _, _, peers, placement = make_placement("g1", clock)
     clock.advance(2500)
-    assert placement.acting
+    assert placement.is_active
 
     young = make_placement("g9", clock)[2]
     tell(peers, "g9", LeaseState.NONE, young._build_message()["holder_age_ms"])
 
-    assert placement.acting
+    assert placement.is_active
 
 
 def test_layers_that_only_a_silent_engine_holds_are_not_waited_for():
@@ -225,7 +225,7 @@
         make_engine("w", 64, 80),
         make_engine("spare", 0, 16),
     )
-    placement.renew()
+    placement.renew_lease()
     context.fleet.eject("y", context.clock.now_ms())
 
     placement.plan_once()
@@ -249,7 +249,7 @@
             for i in range(5)
         ),
     )
-    placement.renew()
+    placement.renew_lease()
     context.fleet.eject("y1", context.clock.now_ms())
 
     placement.plan_once()
@@ -261,7 +261,7 @@
     # Guards against late streams while only a slow engine holds some layers.
     context, _, _, placement = make_placement()
     with_a_chain_and_a_spare(context)
-    placement.renew()
+    placement.renew_lease()
     context.fleet.on_slowdown("e2", 12.0, context.clock.now_ms())
 
     placement.plan_once()
@@ -273,7 +273,7 @@
 def test_engine_that_is_a_little_slow_keeps_its_place():
     context, _, _, placement = make_placement()
     with_a_chain_and_a_spare(context)
-    placement.renew()
+    placement.renew_lease()
     context.fleet.on_slowdown("e2", 2.0, context.clock.now_ms())
 
     placement.plan_once()
@@ -286,12 +286,12 @@
     clock = ManualClock(100_000)
     _, registry, peers, placement = make_placement("g5", clock)
     tell(peers, "g1", LeaseState.NONE)
-    placement.renew()
+    placement.renew_lease()
     registry.lease = Unavailable("busy")
     for _ in range(10):
         clock.advance(800)
-        placement.renew()
-        assert placement.acting
+        placement.renew_lease()
+        assert placement.is_active
         assert peers.lease_state is LeaseState.HELD
 
 
@@ -300,24 +300,24 @@
     clock = ManualClock(100_000)
     _, registry, peers, placement = make_placement("g5", clock)
     tell(peers, "g1", LeaseState.NONE)
-    placement.renew()
+    placement.renew_lease()
     registry.lease = Unavailable("silent")
     clock.advance(800)
-    placement.renew()
+    placement.renew_lease()
     clock.advance(2000)
     tell(peers, "g1", LeaseState.HELD, 0)
 
-    assert not placement.acting
+    assert not placement.is_active
 
 
 def test_stopped_gateway_neither_holds_nor_deputises():
     clock = ManualClock(100_000)
     _, registry, _, placement = make_placement(clock=clock)
-    placement.renew()
+    placement.renew_lease()
     placement.stop()
     clock.advance(10_000)
 
-    assert not placement.acting
+    assert not placement.is_active
     assert registry.lease == PlacementLease(False)
 
 
@@ -340,7 +340,7 @@
     # Guards against an order that is forgotten and carried out late.
     context, _, _, placement = make_placement()
     with_a_hole_and_two_holders(context)
-    placement.renew()
+    placement.renew_lease()
     context.dialect.outcome = OrderOutcome.UNKNOWN
 
     placement.plan_once()
@@ -353,7 +353,7 @@
     # Guards against an order that is carried out after the other holder left.
     context, _, _, placement = make_placement()
     with_a_hole_and_two_holders(context)
-    placement.renew()
+    placement.renew_lease()
     context.fleet.on_order_unanswered("q", context.clock.now_ms())
 
     placement.plan_once()
@@ -379,7 +379,7 @@
     # Guards against an older list there, by which their keeper loads others.
     context, _, peers, placement = make_placement("g1")
     with_a_hole_and_two_holders(context)
-    placement.renew()
+    placement.renew_lease()
     context.dialect.outcome = OrderOutcome.UNKNOWN
     placement.plan_once()
     context, _, next_peers, _ = make_placement("g2")
@@ -400,7 +400,7 @@
     # Guards against a list that is older than another gateway's last order.
     context, _, _, placement = make_placement()
     with_a_hole_and_two_holders(context)
-    placement.renew()
+    placement.renew_lease()
     address = make_engine("q", 0, 16).address
     reports = context.dialect.reports
     reports[address] = attrs.evolve(reports[address], **changes)
@@ -414,7 +414,7 @@
     # Guards against a dead engine that passes for the other holder of layers.
     context, _, _, placement = make_placement()
     with_a_hole_and_two_holders(context)
-    placement.renew()
+    placement.renew_lease()
     del context.dialect.reports[make_engine("q", 0, 16).address]
 
     placement.plan_once()
@@ -431,7 +431,7 @@
     reports = context.dialect.reports
     reports[engine.address] = attrs.evolve(reports[engine.address], busy=True)
 
-    placement._ask_loading(engine)
+    placement._poll_load(engine)
 
     now_ms = context.clock.now_ms()
     engines = context.fleet.engines(service, now_ms)
--- a/caroblug/gateway/tests/test_placement_rounds.py
+++ b/caroblug/gateway/tests/test_placement_rounds.py
@@ -119,7 +119,7 @@
 
 def settle(placement):
     """Carries out what the plan asks for, without real time."""
-    placement._follow = lambda move, end_ms: None
+    placement._follow_load = lambda move, deadline_ms: None
     placement.plan_once()
 
 
@@ -155,7 +155,7 @@
             holder = 1 - holder
         for index, (_, registry, _, placement) in enumerate(gateways):
             registry.lease = PlacementLease(index == holder, 2)
-            placement.renew()
+            placement.renew_lease()
         (context, _, peers, placement) = gateways[holder]
         settle(placement)
         gateways[1 - holder][2]._handle_message(peers._build_message())
