--- a/caroblug/gateway/_fleet.py
+++ b/caroblug/gateway/_fleet.py
@@ -347,7 +347,7 @@
             state.late_order_until_ms > now_ms,
         )
 
-    def on_placed(
+    def on_order_begun(
         self, name: str, layers: LayerRange, now_ms: int, timeout_ms: int
     ) -> None:
         """Records that an engine has begun an order to hold layers.
--- a/caroblug/gateway/_placement.py
+++ b/caroblug/gateway/_placement.py
@@ -310,7 +310,7 @@
         if outcome in (OrderOutcome.BEGUN, OrderOutcome.HOLDS):
             now_ms = context.clock.now_ms()
             timeout_ms = int(load_ms + _LOAD_SLACK_MS)
-            context.fleet.on_placed(
+            context.fleet.on_order_begun(
                 engine.name, move.target, now_ms, timeout_ms
             )
             gevent.spawn(self._follow_load, move, now_ms + timeout_ms)
--- a/caroblug/gateway/tests/test_configuration_spread.py
+++ b/caroblug/gateway/tests/test_configuration_spread.py
@@ -10,7 +10,10 @@
 from caroblug.gateway._interfaces import Member
 from caroblug.gateway._packing import Packer, pack, unpack
 from caroblug.gateway._peers import LeaseState
-from caroblug.gateway.tests.test_placement import make_placement, tell
+from caroblug.gateway.tests.test_placement import (
+    make_placement,
+    receive_peer_state,
+)
 
 RAW = "7" + " " * 100_000
 """A long configuration of version 7, as the fake registry reads it."""
@@ -23,7 +26,7 @@
         other = f"g{i}"
         if other != name:
             peers._add_member(Member(other, ("10.0.0.1", 1)))
-            tell(
+            receive_peer_state(
                 peers,
                 other,
                 LeaseState.NONE,
--- a/caroblug/gateway/tests/test_fleet.py
+++ b/caroblug/gateway/tests/test_fleet.py
@@ -125,7 +125,7 @@
 
 def test_ordered_layers_are_not_served_before_they_are_loaded():
     fleet = make_fleet(make_engine("e1", 0, 40), make_engine("e2", 40, 80))
-    fleet.on_placed("e1", LayerRange(0, 60), 0, 5000)
+    fleet.on_order_begun("e1", LayerRange(0, 60), 0, 5000)
 
     assert names(fleet.choose_engines(POOL, 10)) == NoPath(0)
     fleet.on_report("e1", LayerRange(0, 60), 2000)
@@ -178,7 +178,7 @@
     # Guards against an engine that stays unused for up to a second after its
     # load, as its last report of being busy has not expired.
     fleet = make_fleet(make_engine("e1", 0, 0), now_ms=0)
-    fleet.on_placed("e1", LayerRange(0, 80), 1000, 5000)
+    fleet.on_order_begun("e1", LayerRange(0, 80), 1000, 5000)
     fleet.on_busy("e1", 2000)
     fleet.on_report("e1", LayerRange(0, 80), 2400)
     fleet.on_loaded("e1")
--- a/caroblug/gateway/tests/test_peers.py
+++ b/caroblug/gateway/tests/test_peers.py
@@ -4,9 +4,9 @@
 from caroblug.gateway._peers import LeaseState
 from caroblug.gateway.tests.test_fleet import make_engine
 from caroblug.gateway.tests.test_placement import (
+    list_engines,
     make_placement,
-    tell,
-    with_engines,
+    receive_peer_state,
 )
 
 
@@ -18,7 +18,9 @@
     for name, data_centre in places.items():
         peers._add_member(Member(name, ("10.0.0.1", 1)))
         if heard:
-            tell(peers, name, LeaseState.NONE, data_centre=data_centre)
+            receive_peer_state(
+                peers, name, LeaseState.NONE, data_centre=data_centre
+            )
     peers._heard_ms.clear()
     return peers
 
@@ -59,19 +61,19 @@
 def test_word_of_a_leaving_engine_is_believed_until_a_newer_list():
     # Guards against a question by each gateway about the same leaving engine.
     context, _, peers, _ = make_placement("g0")
-    with_engines(context, make_engine("x", 0, 40), make_engine("y", 0, 40))
+    list_engines(context, make_engine("x", 0, 40), make_engine("y", 0, 40))
     context.clock.advance(3000)
 
-    tell(peers, "g1", LeaseState.NONE, leaving={"x": 200})
+    receive_peer_state(peers, "g1", LeaseState.NONE, leaving={"x": 200})
 
     assert [b.name for b in context.fleet.backends("pool")] == ["y"]
 
 
 def test_old_word_of_a_leaving_engine_loses_to_the_list():
     context, _, peers, _ = make_placement("g0")
-    with_engines(context, make_engine("x", 0, 40))
+    list_engines(context, make_engine("x", 0, 40))
 
-    tell(peers, "g1", LeaseState.NONE, leaving={"x": 3000})
+    receive_peer_state(peers, "g1", LeaseState.NONE, leaving={"x": 3000})
 
     assert [b.name for b in context.fleet.backends("pool")] == ["x"]
 
--- a/caroblug/gateway/tests/test_placement.py
+++ b/caroblug/gateway/tests/test_placement.py
@@ -27,7 +27,7 @@
     )
 
 
-def with_engines(context, *engines):
+def list_engines(context, *engines):
     context.fleet.update_listing(list_of(*engines), context.clock.now_ms())
     for engine in engines:
         context.dialect.add(engine.address, engine.holds)
@@ -36,10 +36,10 @@
 def with_a_chain_and_a_spare(context):
     """Lists engines e0 to e4 of 16 layers each, and a second one for e0's."""
     chain = [make_engine(f"e{i}", i * 16, i * 16 + 16) for i in range(5)]
-    with_engines(context, *chain, make_engine("spare", 0, 16))
+    list_engines(context, *chain, make_engine("spare", 0, 16))
 
 
-def tell(
+def receive_peer_state(
     peers,
     name,
     lease_state,
@@ -92,11 +92,11 @@
 def test_holder_that_was_suspended_gives_no_order():
     clock = ManualClock(100_000)
     context, _, peers, placement = make_placement(clock=clock)
-    with_engines(context, make_engine("e1", 0, 0), make_engine("e2", 0, 0))
+    list_engines(context, make_engine("e1", 0, 0), make_engine("e2", 0, 0))
     placement.renew_lease()
     assert placement.is_active
     clock.advance(10_000)
-    tell(peers, "g0", LeaseState.HELD, 0)
+    receive_peer_state(peers, "g0", LeaseState.HELD, 0)
 
     placement.plan_once()
 
@@ -105,7 +105,7 @@
 
 def test_orders_are_given_only_by_the_holder():
     context, registry, _, placement = make_placement()
-    with_engines(context, make_engine("e1", 0, 0))
+    list_engines(context, make_engine("e1", 0, 0))
     registry.lease = PlacementLease(False, 2)
     placement.renew_lease()
 
@@ -119,7 +119,7 @@
     # Guards against two gateways that both place layers on one engine.
     context, _, _, placement = make_placement()
     engine = make_engine("e1", 0, 0)
-    with_engines(context, engine)
+    list_engines(context, engine)
     dialect = context.dialect
     report = dialect.read_report(engine.address)
     dialect.place(engine.address, LayerRange(3, 9), report.orders, False)
@@ -133,7 +133,7 @@
     # The list is a heartbeat old: the engine has taken an order since.
     context, _, _, placement = make_placement()
     engine = make_engine("e1", 0, 0)
-    with_engines(context, engine)
+    list_engines(context, engine)
     context.fleet.update_listing(list_of(engine, end=2), context.clock.now_ms())
     context.dialect.add(engine.address, LayerRange(0, 16), orders=1)
     placement.renew_lease()
@@ -148,13 +148,13 @@
     _, registry, peers, placement = make_placement("g2", clock)
     registry.lease = Unavailable("busy")
     placement.renew_lease()
-    tell(peers, "g3", LeaseState.NONE)
+    receive_peer_state(peers, "g3", LeaseState.NONE)
     assert not placement.is_active
     clock.advance(3000)
     assert placement.is_active
-    tell(peers, "g1", LeaseState.NONE)
+    receive_peer_state(peers, "g1", LeaseState.NONE)
     assert not placement.is_active
-    tell(peers, "g1", LeaseState.LEAVING)
+    receive_peer_state(peers, "g1", LeaseState.LEAVING)
     assert placement.is_active
 
 
@@ -162,7 +162,7 @@
     clock = ManualClock(100_000)
     _, _, peers, placement = make_placement("g1", clock)
     clock.advance(3000)
-    tell(peers, "g5", LeaseState.NONE, holder_age_ms=400)
+    receive_peer_state(peers, "g5", LeaseState.NONE, holder_age_ms=400)
 
     assert not placement.is_active
 
@@ -170,9 +170,9 @@
 def test_leaving_holder_is_followed_at_once():
     clock = ManualClock(100_000)
     _, _, peers, placement = make_placement("g1", clock)
-    tell(peers, "g0", LeaseState.HELD, 0)
+    receive_peer_state(peers, "g0", LeaseState.HELD, 0)
     assert not placement.is_active
-    tell(peers, "g0", LeaseState.LEAVING, 100)
+    receive_peer_state(peers, "g0", LeaseState.LEAVING, 100)
 
     assert placement.is_active
 
@@ -181,10 +181,10 @@
     # Guards against old word of a holder, for which deputies wait.
     clock = ManualClock(100_000)
     _, _, peers, placement = make_placement("g1", clock)
-    tell(peers, "g0", LeaseState.HELD, 0)
-    tell(peers, "g0", LeaseState.LEAVING, 100)
+    receive_peer_state(peers, "g0", LeaseState.HELD, 0)
+    receive_peer_state(peers, "g0", LeaseState.LEAVING, 100)
     clock.advance(200)
-    tell(peers, "g5", LeaseState.NONE, holder_age_ms=500)
+    receive_peer_state(peers, "g5", LeaseState.NONE, holder_age_ms=500)
 
     assert placement.is_active
 
@@ -192,10 +192,10 @@
 def test_next_holder_is_believed():
     clock = ManualClock(100_000)
     _, _, peers, placement = make_placement("g1", clock)
-    tell(peers, "g0", LeaseState.HELD, 0)
-    tell(peers, "g0", LeaseState.LEAVING, 100)
+    receive_peer_state(peers, "g0", LeaseState.HELD, 0)
+    receive_peer_state(peers, "g0", LeaseState.LEAVING, 100)
     clock.advance(900)
-    tell(peers, "g5", LeaseState.HELD, 0)
+    receive_peer_state(peers, "g5", LeaseState.HELD, 0)
 
     assert not placement.is_active
 
@@ -208,7 +208,9 @@
     assert placement.is_active
 
     young = make_placement("g9", clock)[2]
-    tell(peers, "g9", LeaseState.NONE, young._build_message()["holder_age_ms"])
+    receive_peer_state(
+        peers, "g9", LeaseState.NONE, young._build_message()["holder_age_ms"]
+    )
 
     assert placement.is_active
 
@@ -216,7 +218,7 @@
 def test_layers_that_only_a_silent_engine_holds_are_not_waited_for():
     # Guards against refusals while the plan waits for a layer's only holder.
     context, _, _, placement = make_placement()
-    with_engines(
+    list_engines(
         context,
         make_engine("x", 0, 16),
         make_engine("y", 16, 32),
@@ -241,7 +243,7 @@
 
 def test_silent_engine_whose_layers_others_hold_is_waited_for():
     context, _, _, placement = make_placement()
-    with_engines(
+    list_engines(
         context,
         *(
             make_engine(f"{n}{i}", i * 16, i * 16 + 16)
@@ -285,7 +287,7 @@
     # Guards against seconds without a holder while the store refuses everybody.
     clock = ManualClock(100_000)
     _, registry, peers, placement = make_placement("g5", clock)
-    tell(peers, "g1", LeaseState.NONE)
+    receive_peer_state(peers, "g1", LeaseState.NONE)
     placement.renew_lease()
     registry.lease = Unavailable("busy")
     for _ in range(10):
@@ -299,13 +301,13 @@
     # Guards against a holder that stays on beside the next one.
     clock = ManualClock(100_000)
     _, registry, peers, placement = make_placement("g5", clock)
-    tell(peers, "g1", LeaseState.NONE)
+    receive_peer_state(peers, "g1", LeaseState.NONE)
     placement.renew_lease()
     registry.lease = Unavailable("silent")
     clock.advance(800)
     placement.renew_lease()
     clock.advance(2000)
-    tell(peers, "g1", LeaseState.HELD, 0)
+    receive_peer_state(peers, "g1", LeaseState.HELD, 0)
 
     assert not placement.is_active
 
@@ -323,7 +325,7 @@
 
 def with_a_hole_and_two_holders(context):
     """Lists a chain without layers 64 to 80, and two engines that hold 0."""
-    with_engines(
+    list_engines(
         context,
         *(make_engine(f"e{i}", i * 16, i * 16 + 16) for i in range(1, 4)),
         make_engine("p", 0, 16),
@@ -383,7 +385,7 @@
     context.dialect.outcome = OrderOutcome.UNKNOWN
     placement.plan_once()
     context, _, next_peers, _ = make_placement("g2")
-    with_engines(context, make_engine("p", 48, 64))
+    list_engines(context, make_engine("p", 48, 64))
 
     next_peers._handle_message(peers._build_message())
 
--- a/caroblug/gateway/tests/test_shared_retry_budget.py
+++ b/caroblug/gateway/tests/test_shared_retry_budget.py
@@ -8,7 +8,10 @@
 from caroblug.gateway._interfaces import Member, Unavailable
 from caroblug.gateway._peers import LeaseState
 from caroblug.gateway._shared_retry_budget import LEND_PATH, SharedRetryBudget
-from caroblug.gateway.tests.test_placement import make_placement, tell
+from caroblug.gateway.tests.test_placement import (
+    make_placement,
+    receive_peer_state,
+)
 from caroblug.utils import ManualClock
 
 GATEWAYS = 20
@@ -52,7 +55,7 @@
                     continue
                 left = window.remaining("pool", GATEWAYS, self.clock.now_ms())
                 peers._add_member(Member(other, ("10.0.0.1", 1)))
-                tell(
+                receive_peer_state(
                     peers,
                     other,
                     LeaseState.NONE,
--- a/caroblug/gateway/tests/test_store_watcher.py
+++ b/caroblug/gateway/tests/test_store_watcher.py
@@ -13,7 +13,10 @@
 )
 from caroblug.gateway._peers import LeaseState
 from caroblug.gateway._store_watcher import StoreWatcher
-from caroblug.gateway.tests.test_placement import make_placement, tell
+from caroblug.gateway.tests.test_placement import (
+    make_placement,
+    receive_peer_state,
+)
 from caroblug.utils import ManualClock
 
 
@@ -207,7 +210,7 @@
     context, registry, peers, _ = make_placement("g1")
     context.fleet.loads.gateways = gateways
     for index in range(2, 9):
-        tell(peers, f"g{index}", LeaseState.NONE)
+        receive_peer_state(peers, f"g{index}", LeaseState.NONE)
 
     assert StoreWatcher(context, registry, peers)._wait_ms() <= 3000
 
@@ -217,7 +220,7 @@
     # Guards against paid waits that grow with the number of gateways.
     context, registry, peers, _ = make_placement("g2")
     context.fleet.loads.gateways = gateways
-    tell(peers, "g1", LeaseState.NONE)
+    receive_peer_state(peers, "g1", LeaseState.NONE)
     wait_ms = StoreWatcher(context, registry, peers)._wait_ms()
 
     assert 3000 <= wait_ms <= 20_000
@@ -230,7 +233,7 @@
     clock = ManualClock(100_000)
     context, registry, peers, _ = make_placement("g2", clock)
     watches = StoreWatcher(context, registry, peers)
-    tell(peers, "g1", LeaseState.NONE)
+    receive_peer_state(peers, "g1", LeaseState.NONE)
     registry.read_configuration = lambda: ConfigurationRead(configured(6), 1)
     registry.wait_for_change = hang
     loop = loop_of(watches)
@@ -239,7 +242,7 @@
     gevent.idle()
     assert context.configuration.version == 6
 
-    tell(peers, "g1", LeaseState.LEAVING)
+    receive_peer_state(peers, "g1", LeaseState.LEAVING)
     registry.read_configuration = lambda: ConfigurationRead(configured(7), 2)
     watches._renew_wait()
 
