--- a/caroblug/gateway/tests/test_liveness.py
+++ b/caroblug/gateway/tests/test_liveness.py
@@ -172,7 +172,7 @@
     assert all(s.lost == [] for s in streams)
 
 
-def test_engine_alone_on_its_paths_is_probed_with_a_control_group():
+def test_engine_alone_on_its_paths_is_compared_with_others():
     # Guards against streams that stay on a dead engine because no other engine
     # was probed for comparison.
     stalled = [FakeStream(100_000, "x") for _ in range(5)]
--- a/caroblug/gateway/tests/test_placement.py
+++ b/caroblug/gateway/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Who places layers, and that late orders do no harm."""
+"""Tests which gateway places layers, and that late orders do no harm."""
 
 import attrs
 import pytest
@@ -33,8 +33,8 @@
         context.dialect.add(engine.address, engine.holds)
 
 
-def with_a_chain_and_a_spare(context):
-    """Lists engines e0 to e4 of 16 layers each, and a second one for e0's."""
+def list_chain_and_replica(context):
+    """Lists a chain e0 to e4 of 16 layers each, and a replica of e0."""
     chain = [make_engine(f"e{i}", i * 16, i * 16 + 16) for i in range(5)]
     list_engines(context, *chain, make_engine("spare", 0, 16))
 
@@ -50,7 +50,7 @@
     version=-1,
     version_age_ms=1_000_000,
 ):
-    """Lets a gateway hear of another one."""
+    """Delivers the state of another gateway to a peer exchange."""
     message = {
         "data_centre": data_centre,
         "loads": {},
@@ -74,22 +74,23 @@
     return range(layers.first, layers.end)
 
 
-def test_lease_counts_from_before_it_was_asked_for():
-    # Guards against a lease that seems to last longer than the store grants it.
+def test_lease_duration_counts_from_before_the_request():
+    # Guards against a gateway that assumes a longer lease than the store
+    # grants.
     clock = ManualClock(100_000)
     _, registry, _, placement = make_placement(clock=clock)
 
-    def slow_lease(lease_ms):
+    def renew_slowly(lease_ms):
         clock.advance(5000)
         return PlacementLease(True, 2)
 
-    registry.renew_placement_lease = slow_lease
+    registry.renew_placement_lease = renew_slowly
     placement.renew_lease()
 
     assert not placement.holds_lease
 
 
-def test_holder_that_was_suspended_gives_no_order():
+def test_holder_that_was_suspended_sends_no_order():
     clock = ManualClock(100_000)
     context, _, peers, placement = make_placement(clock=clock)
     list_engines(context, make_engine("e1", 0, 0), make_engine("e2", 0, 0))
@@ -103,7 +104,7 @@
     assert context.dialect.orders == []
 
 
-def test_orders_are_given_only_by_the_holder():
+def test_only_the_lease_holder_is_active():
     context, registry, _, placement = make_placement()
     list_engines(context, make_engine("e1", 0, 0))
     registry.lease = PlacementLease(False, 2)
@@ -115,8 +116,8 @@
     assert placement.is_active
 
 
-def test_order_of_another_since_the_report_wins():
-    # Guards against two gateways that both place layers on one engine.
+def test_order_after_another_gateways_order_is_rejected():
+    # Guards against two gateways placing layers on the same engine.
     context, _, _, placement = make_placement()
     engine = make_engine("e1", 0, 0)
     list_engines(context, engine)
@@ -129,8 +130,9 @@
     assert late is OrderOutcome.CONFLICT
 
 
-def test_engine_that_holds_other_layers_than_listed_is_not_ordered():
-    # The list is a heartbeat old: the engine has taken an order since.
+def test_engine_whose_layers_differ_from_the_listing_gets_no_order():
+    # The listing is up to a heartbeat old, and the engine has begun an order
+    # since.
     context, _, _, placement = make_placement()
     engine = make_engine("e1", 0, 0)
     list_engines(context, engine)
@@ -142,8 +144,9 @@
     assert context.dialect.orders == []
 
 
-def test_deputy_is_the_first_by_name_once_no_holder_is_heard_of():
-    # Guards against layers that nobody places while every lease has run out.
+def test_standby_is_the_first_by_name_once_no_holder_is_seen():
+    # Guards against layers that no gateway places while every lease has
+    # expired.
     clock = ManualClock(100_000)
     _, registry, peers, placement = make_placement("g2", clock)
     registry.lease = Unavailable("busy")
@@ -158,7 +161,7 @@
     assert placement.is_active
 
 
-def test_holder_heard_through_others_keeps_deputies_still():
+def test_holder_reported_by_peers_keeps_standbys_inactive():
     clock = ManualClock(100_000)
     _, _, peers, placement = make_placement("g1", clock)
     clock.advance(3000)
@@ -167,7 +170,7 @@
     assert not placement.is_active
 
 
-def test_leaving_holder_is_followed_at_once():
+def test_leaving_holder_is_replaced_at_once():
     clock = ManualClock(100_000)
     _, _, peers, placement = make_placement("g1", clock)
     receive_peer_state(peers, "g0", LeaseState.HELD, 0)
@@ -178,7 +181,8 @@
 
 
 def test_word_of_a_holder_that_has_left_is_not_believed():
-    # Guards against old word of a holder, for which deputies wait.
+    # Guards against standbys that wait because of an outdated report of a
+    # holder.
     clock = ManualClock(100_000)
     _, _, peers, placement = make_placement("g1", clock)
     receive_peer_state(peers, "g0", LeaseState.HELD, 0)
@@ -189,7 +193,7 @@
     assert placement.is_active
 
 
-def test_next_holder_is_believed():
+def test_report_of_the_next_holder_is_accepted():
     clock = ManualClock(100_000)
     _, _, peers, placement = make_placement("g1", clock)
     receive_peer_state(peers, "g0", LeaseState.HELD, 0)
@@ -201,7 +205,8 @@
 
 
 def test_gateway_that_has_just_started_has_heard_of_no_holder():
-    # Guards against deputies that wait for the start of another gateway.
+    # Guards against standbys that wait because another gateway has started and
+    # counts its own start as having seen a holder.
     clock = ManualClock(100_000)
     _, _, peers, placement = make_placement("g1", clock)
     clock.advance(2500)
@@ -215,8 +220,9 @@
     assert placement.is_active
 
 
-def test_layers_that_only_a_silent_engine_holds_are_not_waited_for():
-    # Guards against refusals while the plan waits for a layer's only holder.
+def test_layers_that_only_a_failing_engine_holds_are_placed_on_others():
+    # Guards against rejected requests while the plan waits for the only holder
+    # of a layer.
     context, _, _, placement = make_placement()
     list_engines(
         context,
@@ -241,7 +247,7 @@
     assert set(range(16, 32)) <= set(placed)
 
 
-def test_silent_engine_whose_layers_others_hold_is_waited_for():
+def test_failing_engine_whose_layers_others_hold_is_waited_for():
     context, _, _, placement = make_placement()
     list_engines(
         context,
@@ -259,10 +265,11 @@
     assert context.dialect.orders == []
 
 
-def test_layers_of_a_slow_engine_are_placed_anew():
-    # Guards against late streams while only a slow engine holds some layers.
+def test_layers_of_a_slow_engine_are_placed_on_others():
+    # Guards against late streams while a slow engine is the only holder of some
+    # layers.
     context, _, _, placement = make_placement()
-    with_a_chain_and_a_spare(context)
+    list_chain_and_replica(context)
     placement.renew_lease()
     context.fleet.on_slowdown("e2", 12.0, context.clock.now_ms())
 
@@ -272,9 +279,9 @@
     assert set(range(32, 48)) <= set(layers_of(order[1]))
 
 
-def test_engine_that_is_a_little_slow_keeps_its_place():
+def test_layers_of_a_slightly_slow_engine_are_not_placed_on_others():
     context, _, _, placement = make_placement()
-    with_a_chain_and_a_spare(context)
+    list_chain_and_replica(context)
     placement.renew_lease()
     context.fleet.on_slowdown("e2", 2.0, context.clock.now_ms())
 
@@ -284,7 +291,7 @@
 
 
 def test_holder_stays_while_the_store_answers_nobody():
-    # Guards against seconds without a holder while the store refuses everybody.
+    # Guards against seconds without a holder while the store rejects all calls.
     clock = ManualClock(100_000)
     _, registry, peers, placement = make_placement("g5", clock)
     receive_peer_state(peers, "g1", LeaseState.NONE)
@@ -297,8 +304,8 @@
         assert peers.lease_state is LeaseState.HELD
 
 
-def test_holder_that_stays_gives_way_to_the_next_one():
-    # Guards against a holder that stays on beside the next one.
+def test_holder_without_renewal_yields_to_the_next_one():
+    # Guards against a former holder that remains active beside the next one.
     clock = ManualClock(100_000)
     _, registry, peers, placement = make_placement("g5", clock)
     receive_peer_state(peers, "g1", LeaseState.NONE)
@@ -312,7 +319,7 @@
     assert not placement.is_active
 
 
-def test_stopped_gateway_neither_holds_nor_deputises():
+def test_stopped_gateway_releases_the_lease_and_is_no_standby():
     clock = ManualClock(100_000)
     _, registry, _, placement = make_placement(clock=clock)
     placement.renew_lease()
@@ -323,8 +330,8 @@
     assert registry.lease == PlacementLease(False)
 
 
-def with_a_hole_and_two_holders(context):
-    """Lists a chain without layers 64 to 80, and two engines that hold 0."""
+def list_coverage_gap_and_replicas(context):
+    """Lists a chain without layers 64 to 80; p and q both hold its start."""
     list_engines(
         context,
         *(make_engine(f"e{i}", i * 16, i * 16 + 16) for i in range(1, 4)),
@@ -333,15 +340,15 @@
     )
 
 
-def ordered(context):
-    """Returns the addresses of engines that were given orders."""
+def ordered_addresses(context):
+    """Returns the addresses of engines that received orders."""
     return [address for address, *_ in context.dialect.orders]
 
 
 def test_unanswered_order_makes_an_engine_uncertain():
-    # Guards against an order that is forgotten and carried out late.
+    # Guards against forgetting an order that is then carried out late.
     context, _, _, placement = make_placement()
-    with_a_hole_and_two_holders(context)
+    list_coverage_gap_and_replicas(context)
     placement.renew_lease()
     context.dialect.outcome = OrderOutcome.UNKNOWN
 
@@ -352,23 +359,25 @@
 
 
 def test_engine_with_an_unanswered_order_is_not_relied_on():
-    # Guards against an order that is carried out after the other holder left.
+    # Guards against a late order that removes layers after their other holder
+    # has been moved.
     context, _, _, placement = make_placement()
-    with_a_hole_and_two_holders(context)
+    list_coverage_gap_and_replicas(context)
     placement.renew_lease()
     context.fleet.on_order_unanswered("q", context.clock.now_ms())
 
     placement.plan_once()
 
-    assert make_engine("p", 0, 16).address not in ordered(context)
+    assert make_engine("p", 0, 16).address not in ordered_addresses(context)
 
 
 def test_unanswered_orders_are_known_to_the_next_holder():
-    # Guards against the death of the holder while its order is still to come.
-    _, _, peers, _ = gone = make_placement("g1")
-    gone[0].fleet.on_order_unanswered("p", gone[0].clock.now_ms())
+    # Guards against the death of the holder while one of its orders may still
+    # be carried out.
+    _, _, peers, _ = former = make_placement("g1")
+    former[0].fleet.on_order_unanswered("p", former[0].clock.now_ms())
     context, _, next_peers, _ = make_placement("g2")
-    with_a_hole_and_two_holders(context)
+    list_coverage_gap_and_replicas(context)
 
     next_peers._handle_message(peers._build_message())
 
@@ -377,10 +386,11 @@
     assert [e.name for e in engines if e.order_unconfirmed] == ["p"]
 
 
-def test_layers_under_an_unanswered_order_are_known_to_the_next_holder():
-    # Guards against an older list there, by which their keeper loads others.
+def test_layers_behind_an_unanswered_order_are_known_to_the_next_holder():
+    # Guards against an older listing at the next holder, by which it would move
+    # the engine to other layers.
     context, _, peers, placement = make_placement("g1")
-    with_a_hole_and_two_holders(context)
+    list_coverage_gap_and_replicas(context)
     placement.renew_lease()
     context.dialect.outcome = OrderOutcome.UNKNOWN
     placement.plan_once()
@@ -399,9 +409,9 @@
     "changes", [{"busy": True}, {"holds": LayerRange(3, 9)}]
 )
 def test_layers_are_not_given_up_for_a_keeper_that_has_gone_elsewhere(changes):
-    # Guards against a list that is older than another gateway's last order.
+    # Guards against a listing that is older than another gateway's last order.
     context, _, _, placement = make_placement()
-    with_a_hole_and_two_holders(context)
+    list_coverage_gap_and_replicas(context)
     placement.renew_lease()
     address = make_engine("q", 0, 16).address
     reports = context.dialect.reports
@@ -409,25 +419,27 @@
 
     placement.plan_once()
 
-    assert ordered(context) == []
+    assert ordered_addresses(context) == []
 
 
 def test_keeper_that_gives_no_report_is_not_relied_on():
-    # Guards against a dead engine that passes for the other holder of layers.
+    # Guards against a dead engine that still counts as the other holder of
+    # layers.
     context, _, _, placement = make_placement()
-    with_a_hole_and_two_holders(context)
+    list_coverage_gap_and_replicas(context)
     placement.renew_lease()
     del context.dialect.reports[make_engine("q", 0, 16).address]
 
     placement.plan_once()
 
-    assert ordered(context) == []
+    assert ordered_addresses(context) == []
 
 
 def test_engine_whose_load_is_overdue_counts_as_loading():
-    # Guards against relying on what an engine held before a load that hangs.
+    # Guards against relying on the layers that an engine held before a load
+    # that hangs.
     context, _, _, placement = make_placement()
-    with_a_hole_and_two_holders(context)
+    list_coverage_gap_and_replicas(context)
     service = context.configuration.services["pool"]
     engine = context.fleet.engines(service, 0)[0]
     reports = context.dialect.reports
--- a/caroblug/gateway/tests/test_placement_rounds.py
+++ b/caroblug/gateway/tests/test_placement_rounds.py
@@ -1,4 +1,4 @@
-"""Rounds of orders over engines that answer late, load late or never."""
+"""Tests rounds of orders to engines that respond or load late or never."""
 
 import random
 
@@ -14,13 +14,13 @@
 from caroblug.gateway.tests.test_placement import make_placement
 from caroblug.utils import ManualClock
 
-TICK_MS = 400
+ROUND_MS = 400
 NEVER_MS = 10**9
 
 
 @attrs.define
 class LateOrder:
-    """An order that was not answered and is carried out later."""
+    """An order that got no response and is carried out later."""
 
     at_ms: int
     layers: LayerRange
@@ -29,7 +29,7 @@
 
 @attrs.define
 class LiveEngine:
-    """An engine as it is, whatever gateways believe of it."""
+    """The true state of an engine, which gateways know only in part."""
 
     name: str
     holds: LayerRange
@@ -44,7 +44,7 @@
 
 
 class LiveFleet(FakeDialect):
-    """Engines of one data centre; notes layers that orders leave unserved."""
+    """Engines of one data centre; records layers that orders leave unserved."""
 
     def __init__(self, clock, rng, held) -> None:
         super().__init__()
@@ -75,19 +75,19 @@
         engine = self.engines[address]
         if engine.busy or engine.orders != orders:
             return OrderOutcome.CONFLICT
-        fate = self._rng.random()
-        if fate < 0.4:
+        draw = self._rng.random()
+        if draw < 0.4:
             self._begin(engine, layers)
             return OrderOutcome.BEGUN
-        if fate < 0.85:
+        if draw < 0.85:
             at_ms = self._clock.now_ms() + self._rng.randint(2000, 12_000)
             engine.late.append(LateOrder(at_ms, layers, orders))
-        elif fate < 0.95:
+        elif draw < 0.95:
             self._begin(engine, layers)
         return OrderOutcome.UNKNOWN
 
     def advance(self) -> None:
-        """Ends loads and carries late orders out."""
+        """Completes loads and carries out late orders."""
         now_ms = self._clock.now_ms()
         for engine in self.engines.values():
             if engine.busy and engine.loaded_ms <= now_ms:
@@ -101,14 +101,14 @@
     def _begin(self, engine, layers) -> None:
         others = [e for e in self.engines.values() if e is not engine]
         for layer in engine.holds:
-            kept = layer in layers or any(
+            still_served = layer in layers or any(
                 layer in e.holds and not e.busy for e in others
             )
-            if not kept:
+            if not still_served:
                 self.unserved.append((engine.name, layer))
         engine.orders += 1
         engine.target = layers
-        # What is given up is refused from now on; the rest is kept.
+        # Removed layers are unavailable from now on; the others stay available.
         first = max(engine.holds.first, layers.first)
         engine.holds = LayerRange(first, min(engine.holds.end, layers.end))
         if not len(engine.holds):
@@ -117,15 +117,15 @@
         engine.loaded_ms = self._clock.now_ms() + load_ms
 
 
-def settle(placement):
-    """Carries out what the plan asks for, without real time."""
+def run_round(placement):
+    """Runs one round of the plan without real time."""
     placement._follow_load = lambda move, deadline_ms: None
     placement.plan_once()
 
 
 @st.composite
 def held_layers(draw):
-    """Layers of engines: a cover with holes, some of it held twice."""
+    """Draws the layers of engines, with coverage gaps and replicas."""
     held = []
     layer = 0
     while layer < MODEL.layers:
@@ -140,7 +140,9 @@
 
 @hypothesis.given(held_layers(), st.randoms(use_true_random=False))
 def test_orders_never_take_the_last_serving_holder_of_a_layer(held, rng):
-    # Guards against removals that are each fine alone: late, lost or by others.
+    # Guards against orders that are each safe alone, but together remove the
+    # last holder of a layer: orders carried out late, without a response, or
+    # sent by another gateway.
     clock = ManualClock(100_000)
     fleet = LiveFleet(clock, random.Random(rng.random()), held)
     gateways = [make_placement(name, clock) for name in ("g1", "g2")]
@@ -150,20 +152,20 @@
         registry.lease = PlacementLease(False, 2)
     clock.advance(2000)
     holder = 0
-    for turn in range(40):
+    for round_number in range(40):
         if rng.random() < 0.25:
             holder = 1 - holder
         for index, (_, registry, _, placement) in enumerate(gateways):
             registry.lease = PlacementLease(index == holder, 2)
             placement.renew_lease()
         (context, _, peers, placement) = gateways[holder]
-        settle(placement)
+        run_round(placement)
         gateways[1 - holder][2]._handle_message(peers._build_message())
-        clock.advance(TICK_MS)
+        clock.advance(ROUND_MS)
         fleet.advance()
         for context, _, _, _ in gateways:
             if rng.random() < 0.4:
-                listing = fleet.listing(turn + 2)
+                listing = fleet.listing(round_number + 2)
                 context.fleet.update_listing(listing, clock.now_ms())
 
     assert fleet.unserved == []
