--- a/caroblug/gateway/_fleet.py
+++ b/caroblug/gateway/_fleet.py
@@ -85,7 +85,7 @@
         ended: Whether its process has ended.
         ordered_layers: Layers that it was ordered to hold; None if no order
             is pending.
-        order_deadline_ms: When the pending order is given up.
+        order_deadline_ms: When the pending order is no longer waited for.
         busy_until_ms: End of the time for which it counts as busy.
         late_order_until_ms: Until when an unanswered order may still be
             carried out.
@@ -262,8 +262,9 @@
         usable = [b for b in self.backends(service.name) if b.name not in tried]
         healthy = [b for b in usable if not self.is_excluded(b.name, now_ms)]
         if not healthy:
-            # All of them failed recently. The one whose ejection ends first
-            # may be back, and trying it costs at most a refused connection.
+            # All of them failed or were full recently. The one whose ejection
+            # ends first may be back, and trying it costs little: at most a
+            # refused connection.
             usable.sort(key=lambda b: self._states[b.name].ejected_until_ms)
             return usable[0] if usable else None
         return min(healthy, key=lambda b: self._relative_load(b, now_ms))
--- a/caroblug/gateway/_slowness.py
+++ b/caroblug/gateway/_slowness.py
@@ -90,7 +90,7 @@
         report = context.dialect.read_report(address)
         context.telemetry.count("pace_questions")
         if isinstance(report, Unavailable):
-            # Missing responses are handled by the liveness checks. The last
+            # Other checks handle an engine that doesn't respond. Its last
             # known slowdown stays in force.
             return
         now_ms = context.clock.now_ms()
