--- a/caroblug/gateway/_peers.py
+++ b/caroblug/gateway/_peers.py
@@ -11,6 +11,7 @@
 from gevent import event
 
 from caroblug.core.placement import LayerRange
+from caroblug.gateway._compression import TextCompressor, decompress_text
 from caroblug.gateway._context import Context
 from caroblug.gateway._crashes import Crashes
 from caroblug.gateway._http_client import Address
@@ -19,7 +20,6 @@
     UNKNOWN_AGE_MS,
     LeaseHolderTracker,
 )
-from caroblug.gateway._packing import Packer, unpack
 from caroblug.gateway._peer_calls import UNREADABLE, PeerCalls
 from caroblug.gateway._readers import Readers
 
@@ -100,8 +100,8 @@
         self._repeats_left: dict[str, dict[str, int]] = {}
         self._fetching_version = -1
         self._news = event.Event()
-        self._configurations = Packer()
-        self._lists = Packer()
+        self._configurations = TextCompressor()
+        self._lists = TextCompressor()
         self._calls = PeerCalls(context)
         self._calls.serve(TELL_PATH, self._handle_message)
         self.lease_state = LeaseState.NONE
@@ -267,14 +267,14 @@
         answer = self._build_message()
         if message["version"] < self._version():
             raw = self._context.raw_configuration
-            answer["packed_configuration"] = self._configurations.pack(raw)
+            answer["packed_configuration"] = self._configurations.compress(raw)
         elif message["version"] > self._version():
             self._fetch(name, int(message["version"]))
         if self._differs(message) and answer["list_age_ms"] < int(
             message["list_age_ms"]
         ):
             raw = self._context.fleet.listing.raw
-            answer["packed_list"] = self._lists.pack(raw)
+            answer["packed_list"] = self._lists.compress(raw)
         return answer
 
     def _fetch(self, name: str, version: int) -> None:
@@ -308,7 +308,7 @@
         self._apply_peer_state(name, answer)
         packed = answer.get("packed_configuration")
         if packed and int(answer["version"]) > self._version():
-            raw = unpack(packed)
+            raw = decompress_text(packed)
             configuration = self._registry.decode_configuration(raw)
             if not isinstance(
                 configuration, Unavailable
@@ -320,7 +320,7 @@
         packed_list = answer.get("packed_list")
         if packed_list:
             listing = self._registry.decode_listing(
-                unpack(packed_list), int(answer["list_end"])
+                decompress_text(packed_list), int(answer["list_end"])
             )
             if not isinstance(listing, Unavailable):
                 age_ms = int(answer["list_age_ms"])
--- a/caroblug/gateway/tests/test_configuration_spread.py
+++ b/caroblug/gateway/tests/test_configuration_spread.py
@@ -7,8 +7,12 @@
 
 import pytest
 
+from caroblug.gateway._compression import (
+    TextCompressor,
+    compress_text,
+    decompress_text,
+)
 from caroblug.gateway._interfaces import Member
-from caroblug.gateway._packing import Packer, pack, unpack
 from caroblug.gateway._peers import LeaseState
 from caroblug.gateway.tests.test_placement import make_placement, tell
 
@@ -114,18 +118,18 @@
 
 
 def test_packed_text_is_the_same_again():
-    assert unpack(pack(RAW)) == RAW
+    assert decompress_text(compress_text(RAW)) == RAW
 
 
 def test_text_is_packed_once_for_all_who_get_it():
     # Guards against compressing a list again for each gateway that lacks it.
-    packer = Packer()
+    compressor = TextCompressor()
 
-    assert packer.pack(RAW) is packer.pack(RAW)
-    assert unpack(packer.pack("another")) == "another"
+    assert compressor.compress(RAW) is compressor.compress(RAW)
+    assert decompress_text(compressor.compress("another")) == "another"
 
 
-@pytest.mark.parametrize("packed", ["", "spoilt", pack(RAW)[:-40]])
+@pytest.mark.parametrize("packed", ["", "spoilt", compress_text(RAW)[:-40]])
 def test_broken_packed_text_is_a_value_error(packed):
     with pytest.raises(ValueError, match=r"packed|Incorrect|padd"):
-        unpack(packed)
+        decompress_text(packed)
