--- a/caroblug/gateway/_compression.py
+++ b/caroblug/gateway/_compression.py
@@ -1,7 +1,8 @@
-"""Long texts in messages between gateways, compressed.
+"""Compression of long texts in messages between gateways.
 
-A configuration of many routes takes a slow link of a gateway a third of a
-second, in which its streams wait; compressed it takes a tenth of that.
+Uncompressed, a configuration with many routes occupies a gateway's slow link
+for a third of a second, during which its streams wait. Compressed, it takes a
+tenth of that time.
 """
 
 import base64
@@ -9,33 +10,37 @@
 
 _LEVEL = 1
 _MAX_TEXT_BYTES = 64 << 20
-"""Bound on what a text may decompress_text to."""
+"""Limit on the size of a decompressed text."""
 
 
 def compress_text(text: str) -> str:
-    """Returns a text in a short form that JSON can hold."""
+    """Returns a text compressed and encoded for use in JSON."""
     return base64.b64encode(zlib.compress(text.encode(), _LEVEL)).decode()
 
 
 class TextCompressor:
-    """Packs a text once for all who get it."""
+    """Compresses texts and caches the last result.
+
+    The same text is sent to several gateways and is compressed only once.
+    """
 
     def __init__(self) -> None:
         self._text = ""
         self._compressed = compress_text("")
 
     def compress(self, text: str) -> str:
-        """Returns a text in its short form."""
+        """Returns a text compressed and encoded for use in JSON."""
         if text is not self._text:
             self._text, self._compressed = text, compress_text(text)
         return self._compressed
 
 
 def decompress_text(compressed: str) -> str:
-    """Returns the text that was packed.
+    """Returns the text that `compress_text` was given.
 
     Raises:
-        ValueError: If it is none, or too long.
+        ValueError: If the input is not a compressed text or its text is too
+            long.
     """
     decompressor = zlib.decompressobj()
     try:
@@ -43,7 +48,10 @@
             base64.b64decode(compressed), _MAX_TEXT_BYTES
         )
     except zlib.error as error:
-        raise ValueError(f"packed text is broken: {error}") from error
+        raise ValueError(f"invalid compressed text: {error}") from error
     if not decompressor.eof:
-        raise ValueError(f"packed text of more than {_MAX_TEXT_BYTES} bytes")
+        raise ValueError(
+            "compressed text is truncated or of more than "
+            f"{_MAX_TEXT_BYTES} bytes"
+        )
     return data.decode()
--- a/caroblug/gateway/_initial_settings.py
+++ b/caroblug/gateway/_initial_settings.py
@@ -1,4 +1,4 @@
-"""Settings at the start of the program, which may still be being written."""
+"""Reading of the settings at program start, with retries."""
 
 from collections.abc import Callable
 
@@ -6,7 +6,7 @@
 
 from caroblug.gateway._settings import GatewaySettings, SettingsProblem
 
-_TRIES = 20
+_MAX_READS = 20
 _PAUSE_S = 0.1
 
 
@@ -14,17 +14,21 @@
     read: Callable[[], GatewaySettings | SettingsProblem],
     sleep: Callable[[float], None] = gevent.sleep,
 ) -> GatewaySettings | SettingsProblem:
-    """Reads settings, for two seconds if they can't be used at first.
+    """Returns the settings, retrying for two seconds while they are invalid.
 
-    Guards against a start at the moment in which the file is written anew: a
-    gateway that runs keeps its old settings then, but this one has none.
+    Guards against a start while the settings file is being rewritten. A running
+    gateway keeps its previous settings in that case, but a starting one has
+    none.
 
     Args:
-        read: Reads them once.
-        sleep: Waits for so many seconds.
+        read: Reads the settings once.
+        sleep: Waits for the given number of seconds.
+
+    Returns:
+        The settings, or the last problem if none of the reads succeeded.
     """
     settings = read()
-    for _ in range(_TRIES - 1):
+    for _ in range(_MAX_READS - 1):
         if not isinstance(settings, SettingsProblem):
             break
         sleep(_PAUSE_S)
--- a/caroblug/gateway/tests/test_configuration_spread.py
+++ b/caroblug/gateway/tests/test_configuration_spread.py
@@ -1,8 +1,10 @@
-"""A configuration of many routes, changed in quick succession.
+"""Tests of how gateways distribute a large configuration.
 
-Guards against links of gateways that are full of configurations: each came
-from the store to every gateway at once, and again from gateway to gateway,
-while streams waited behind it and engines seemed to take no connection.
+They guard against gateway links saturated by configuration transfers when a
+configuration with many routes changes in quick succession. Every gateway used
+to read each version from the store at the same moment and to receive it again
+from other gateways. Streams waited behind these transfers, and engines seemed
+to accept no connection.
 """
 
 import pytest
@@ -17,11 +19,11 @@
 from caroblug.gateway.tests.test_placement import make_placement, tell
 
 RAW = "7" + " " * 100_000
-"""A long configuration of version 7, as the fake registry reads it."""
+"""A long configuration that the fake registry decodes as version 7."""
 
 
 def make_peers(name="g5", others=14, version_age_ms=0):
-    """Returns the peers of a gateway that has heard of its neighbours."""
+    """Returns the peers of a gateway that has state of its neighbours."""
     context, _, peers, _ = make_placement(name)
     for i in range(others):
         other = f"g{i}"
@@ -37,7 +39,7 @@
     return context, peers
 
 
-def test_two_gateways_of_a_data_centre_wait_at_the_store():
+def test_two_gateways_per_data_centre_wait_for_changes_at_the_store():
     readers = [
         name
         for name in (f"g{i}" for i in range(14))
@@ -47,31 +49,32 @@
     assert len(readers) == 2
 
 
-def test_gateway_whose_reads_are_quicker_reads_for_the_others():
-    # Guards against a slow link that carries what a quick one could.
+def test_gateway_with_slow_reads_leaves_reading_to_the_others():
+    # Guards against transfers over a slow link that a fast one could carry.
     context, peers = make_peers("g0")
     peers.readers.note_read(200)
 
     assert not peers.reads_configuration()
 
 
-def test_gateway_whose_reads_fail_does_not_read_for_the_others():
+def test_gateway_with_failed_reads_leaves_reading_to_the_others():
     context, peers = make_peers("g0")
     peers.readers.note_read(None)
 
     assert not peers.reads_configuration()
 
 
-def test_gateway_that_hears_nobody_reads_by_itself():
-    # Guards against an old configuration behind a cut between gateways.
+def test_gateway_without_contact_to_peers_reads_by_itself():
+    # Guards against an outdated configuration while gateways are partitioned.
     context, peers = make_peers()
     context.clock.advance(1001)
 
     assert peers.reads_configuration()
 
 
-def test_gateway_reads_by_itself_when_nobody_confirms_the_version():
-    # Guards against readers that are all cut off from the store.
+def test_gateway_reads_by_itself_when_no_peer_confirms_the_version():
+    # Guards against an outdated configuration while all reading gateways are
+    # cut off from the store.
     context, peers = make_peers(version_age_ms=4501)
 
     assert peers.reads_configuration()
@@ -83,7 +86,7 @@
     assert peers.reads_configuration()
 
 
-def test_newer_configuration_is_handed_on_compressed():
+def test_newer_configuration_is_forwarded_compressed():
     context, peers = make_peers("g1")
     context.raw_configuration = RAW
     other, other_peers = make_peers("g2")
@@ -97,8 +100,8 @@
     assert len(answer["packed_configuration"]) < len(RAW) / 10
 
 
-def test_configuration_is_not_fetched_from_everybody_who_tells_of_it():
-    # Guards against a full link: the same configuration, several times.
+def test_configuration_is_fetched_from_one_of_the_peers_that_have_it():
+    # Guards against a link saturated by several copies of one configuration.
     context, peers = make_peers()
     message = make_peers("g1")[1]._build_message()
 
@@ -108,20 +111,20 @@
     assert len(peers._busy) == 1
 
 
-def test_older_configuration_is_not_unpacked():
+def test_older_configuration_is_not_decompressed():
     context, peers = make_peers()
     answer = make_peers("g1")[1]._build_message()
 
-    peers._take_answer({**answer, "packed_configuration": "spoilt"}, "g1")
+    peers._take_answer({**answer, "packed_configuration": "invalid"}, "g1")
 
     assert context.configuration.version == 5
 
 
-def test_packed_text_is_the_same_again():
+def test_compression_round_trip_preserves_the_text():
     assert decompress_text(compress_text(RAW)) == RAW
 
 
-def test_text_is_packed_once_for_all_who_get_it():
+def test_text_is_compressed_once_for_all_recipients():
     # Guards against compressing a list again for each gateway that lacks it.
     compressor = TextCompressor()
 
@@ -129,7 +132,9 @@
     assert decompress_text(compressor.compress("another")) == "another"
 
 
-@pytest.mark.parametrize("packed", ["", "spoilt", compress_text(RAW)[:-40]])
-def test_broken_packed_text_is_a_value_error(packed):
-    with pytest.raises(ValueError, match=r"packed|Incorrect|padd"):
-        decompress_text(packed)
+@pytest.mark.parametrize(
+    "compressed", ["", "invalid", compress_text(RAW)[:-40]]
+)
+def test_invalid_compressed_text_is_a_value_error(compressed):
+    with pytest.raises(ValueError, match=r"compressed|Incorrect|padd"):
+        decompress_text(compressed)
--- a/caroblug/gateway/tests/test_connect_attempts.py
+++ b/caroblug/gateway/tests/test_connect_attempts.py
@@ -1,10 +1,14 @@
-"""Engines of one rack without power, and a gateway whose own link is full."""
+"""Tests of connection attempts to engines that accept no connection.
+
+Either the engines have lost power or the gateway's own link is full.
+"""
 
 from caroblug.gateway._connect_attempts import ConnectAttempts
 
 
-def test_dark_engines_leave_time_for_the_first_event():
-    # Guards against first events that are late behind two dark engines.
+def test_unreachable_engines_leave_time_for_the_first_event():
+    # Guards against a late first event after attempts at two engines without
+    # power.
     attempts = ConnectAttempts()
     waited_s = 0.0
     for name in ("x", "y"):
@@ -15,8 +19,9 @@
     assert attempts.on_connected() == ["x", "y"]
 
 
-def test_full_link_of_the_gateway_condemns_no_engine():
-    # Guards against all engines avoided for a link on which nothing passes.
+def test_full_link_of_the_gateway_marks_no_engine_unreachable():
+    # Guards against ejecting all engines because the gateway's own link passes
+    # no data.
     attempts = ConnectAttempts()
     for name in ("w", "x", "y", "z"):
         assert not attempts.exhausted
@@ -25,7 +30,7 @@
     assert attempts.exhausted
 
 
-def test_engine_is_condemned_once():
+def test_engine_is_reported_unreachable_once():
     attempts = ConnectAttempts()
     attempts.on_connect_failed("x")
     attempts.on_connected()
--- a/caroblug/gateway/tests/test_initial_settings.py
+++ b/caroblug/gateway/tests/test_initial_settings.py
@@ -1,4 +1,4 @@
-"""Settings at the start of the program."""
+"""Tests of reading the settings at program start."""
 
 from caroblug.gateway import (
     GatewaySettings,
@@ -13,8 +13,9 @@
 )
 
 
-def test_file_that_is_being_written_does_not_end_the_start():
-    # Guards against an exit at the moment in which settings are written anew.
+def test_file_that_is_being_rewritten_does_not_end_the_start():
+    # Guards against an exit when the program starts while the settings file is
+    # being rewritten.
     reads = iter([PROBLEM, PROBLEM, SETTINGS])
     pauses = []
 
@@ -24,7 +25,7 @@
     assert len(pauses) == 2
 
 
-def test_file_that_stays_broken_ends_the_start():
+def test_file_that_stays_invalid_ends_the_start():
     pauses = []
 
     settings = read_initial_settings(lambda: PROBLEM, pauses.append)
