--- a/caroblug/gateway/_decision_log.py
+++ b/caroblug/gateway/_decision_log.py
@@ -17,15 +17,15 @@
 
 from caroblug.utils import Clock
 
-_MOST_WAITING = 2000
+_MAX_BUFFERED_LINES = 2000
 """Lines kept while nobody reads: 0.6 MB at 300 bytes a line."""
 
-_PER_S = {"request": 100}
+_MAX_LINES_PER_S = {"request": 100}
 """Lines a second of the kinds that are many; failures have no bound of their
 own but the buffer's, so that they go before successes."""
 
-_FLUSH_S = 0.1
-_BLOCKED_S = 1.0
+_FLUSH_INTERVAL_S = 0.1
+_WRITABLE_TIMEOUT_S = 1.0
 
 
 class DecisionLog:
@@ -42,37 +42,37 @@
         self._clock = clock
         self._fd = fd
         self._lines: collections.deque[bytes] = collections.deque()
-        self._left_out = 0
+        self._dropped = 0
         self._second = 0
-        self._in_second: collections.Counter[str] = collections.Counter()
+        self._lines_in_second: collections.Counter[str] = collections.Counter()
 
     @property
-    def left_out(self) -> int:
+    def dropped(self) -> int:
         """Lines left out since the last line that told of them."""
-        return self._left_out
+        return self._dropped
 
     def start(self) -> None:
         """Begins to write."""
         gevent_os.make_nonblocking(self._fd)
-        eliot.add_destinations(self.take)
+        eliot.add_destinations(self.enqueue)
         gevent.spawn(self._run)
 
     def write(self, kind: str, /, **fields: Any) -> None:
         """Writes one line; `fields` hold no secret."""
         if not self._within_rate(kind):
-            self._left_out += 1
+            self._dropped += 1
             return
         eliot.log_message(message_type=kind, **fields)
 
-    def take(self, message: dict) -> None:
+    def enqueue(self, message: dict) -> None:
         """Takes a message from eliot into the buffer."""
-        if len(self._lines) >= _MOST_WAITING:
-            self._left_out += 1
+        if len(self._lines) >= _MAX_BUFFERED_LINES:
+            self._dropped += 1
             return
         message["instance"] = self._instance
-        if self._left_out:
-            message["left_out"] = self._left_out
-            self._left_out = 0
+        if self._dropped:
+            message["left_out"] = self._dropped
+            self._dropped = 0
         text = json.dumps(message, default=str, separators=(",", ":"))
         self._lines.append(text.encode() + b"\n")
 
@@ -86,7 +86,7 @@
                 return
             except OSError:
                 # Nobody will ever read: keep counting, keep serving.
-                self._left_out += len(self._lines)
+                self._dropped += len(self._lines)
                 self._lines.clear()
                 return
             if written < len(line):
@@ -96,25 +96,25 @@
 
     def _run(self) -> None:
         while True:
-            gevent.sleep(_FLUSH_S)
+            gevent.sleep(_FLUSH_INTERVAL_S)
             self.flush()
             if self._lines:
                 self._wait_for_reader()
 
     def _wait_for_reader(self) -> None:
         try:
-            socket.wait_write(self._fd, timeout=_BLOCKED_S)
+            socket.wait_write(self._fd, timeout=_WRITABLE_TIMEOUT_S)
         except OSError:
             # Timed out, or a file that can't be polled: look again later.
             return
 
     def _within_rate(self, kind: str) -> bool:
-        most = _PER_S.get(kind)
-        if most is None:
+        limit = _MAX_LINES_PER_S.get(kind)
+        if limit is None:
             return True
         second = self._clock.now_ms() // 1000
         if second != self._second:
             self._second = second
-            self._in_second.clear()
-        self._in_second[kind] += 1
-        return self._in_second[kind] <= most
+            self._lines_in_second.clear()
+        self._lines_in_second[kind] += 1
+        return self._lines_in_second[kind] <= limit
--- a/caroblug/gateway/_gateway.py
+++ b/caroblug/gateway/_gateway.py
@@ -37,17 +37,17 @@
 from caroblug.gateway._telemetry import Telemetry
 from caroblug.utils import BoottimeClock
 
-_DENIALS = {
+_DENIAL_STATUSES = {
     DenialReason.NOT_CONFIGURED: 503,
     DenialReason.NO_ROUTE: 404,
     DenialReason.UNKNOWN_KEY: 401,
     DenialReason.NO_SERVICE: 503,
 }
-_NOTICED_MS = 2600
+_BALANCER_NOTICE_MS = 2600
 """Time from SIGTERM after which nobody sends new connections: the balancer
 asks once a second and believes the second refusal."""
 
-_LATE_MS = 2900
+_LATE_REQUEST_MS = 2900
 """Time from SIGTERM after which requests are taken only if they must end
 before the exit. Earlier ones can't know of it yet; a long stream that begins
 later would be cut."""
@@ -55,15 +55,15 @@
 _EXIT_RESERVE_MS = 250
 """Time kept between the end of the drain and the platform's SIGKILL."""
 
-_SETTINGS_S = 5.0
+_SETTINGS_POLL_S = 5.0
 """How often the settings are read without a signal; it takes a millisecond."""
 
-_POLL_S = 0.05
+_DRAIN_POLL_S = 0.05
 
-_START_MOST_MS = 250
+_MAX_START_WAIT_MS = 250
 """Longest time that callers wait for the first configuration and list."""
 
-_START_LOOK_S = 0.005
+_START_POLL_S = 0.005
 
 
 class Gateway:
@@ -90,7 +90,7 @@
         self._rechecks = Rechecks(context)
         self._answers = Answers(context)
         self._repeats = Repeats(context, self._peers)
-        self._peers.calls.serve(LEND_PATH, self._repeats.answer_loan)
+        self._peers.calls.register(LEND_PATH, self._repeats.answer_loan)
         self._calls = Calls(context, self._crashes, self._repeats)
         self._running = RunningStreams(context)
         self._liveness = Liveness(context, self._running)
@@ -98,16 +98,18 @@
         self._streams = Streams(
             context, self._crashes, self._running, self._repeats
         )
-        self._leaving = event.Event()
+        self._terminating = event.Event()
         self._settings_problem = ""
-        self._left_ms = 0
-        self._callers = self._listen(context.settings.callers, self._answer)
-        self._ready = self._listen(context.settings.ready, self._answer_ready)
+        self._terminated_ms = 0
+        self._callers = self._listen(
+            context.settings.callers, self._handle_request
+        )
+        self._ready = self._listen(context.settings.ready, self._handle_ready)
         self._peer_calls = self._listen(
-            context.settings.peers, self._peers.calls.answer
+            context.settings.peers, self._peers.calls.handle_request
         )
         self._metrics = self._listen(
-            context.settings.metrics, self._answer_metrics
+            context.settings.metrics, self._handle_metrics
         )
 
     @property
@@ -116,7 +118,7 @@
         return (
             self._context.configuration is not None
             and self._context.fleet.known
-            and not self._leaving.is_set()
+            and not self._terminating.is_set()
         )
 
     def run(self) -> None:
@@ -124,9 +126,9 @@
         context = self._context
         context.log.start()
         context.log.write("program.started", settings=str(context.settings))
-        gevent.signal_handler(signal.SIGTERM, self._leave)
-        gevent.signal_handler(signal.SIGINT, self._leave)
-        gevent.signal_handler(signal.SIGHUP, self._read_settings)
+        gevent.signal_handler(signal.SIGTERM, self._on_terminate)
+        gevent.signal_handler(signal.SIGINT, self._on_terminate)
+        gevent.signal_handler(signal.SIGHUP, self._reload_settings)
         # Whoever hears that the gateway is ready connects at once.
         self._callers.listen()
         self._ready.start()
@@ -141,13 +143,13 @@
             self._rechecks.run,
             self._liveness.run,
             self._slowness.run,
-            self._follow_settings,
+            self._poll_settings,
         ):
             gevent.spawn(loop)
         self._wait_until_ready()
         self._callers.start()
         self._metrics.start()
-        self._leaving.wait()
+        self._terminating.wait()
         self._drain()
 
     def _wait_until_ready(self) -> None:
@@ -156,17 +158,17 @@
         Guards against refusing them for a configuration that is read some ms
         later; while the store is away they are refused soon.
         """
-        end_ms = self._context.clock.now_ms() + _START_MOST_MS
+        end_ms = self._context.clock.now_ms() + _MAX_START_WAIT_MS
         while not self.ready and self._context.clock.now_ms() < end_ms:
-            gevent.sleep(_START_LOOK_S)
+            gevent.sleep(_START_POLL_S)
 
-    def _follow_settings(self) -> None:
+    def _poll_settings(self) -> None:
         """Reads the settings now and then: they may change without a word."""
         while True:
-            gevent.sleep(_SETTINGS_S)
-            self._read_settings()
+            gevent.sleep(_SETTINGS_POLL_S)
+            self._reload_settings()
 
-    def _read_settings(self) -> None:
+    def _reload_settings(self) -> None:
         """Takes changed settings; keeps the old ones if they can't be used.
 
         Requests that run are not touched. Addresses that this process
@@ -193,10 +195,10 @@
             address, handler, self._context.limits, self._context.clock
         )
 
-    def _leave(self) -> None:
-        if not self._leaving.is_set():
-            self._left_ms = self._context.clock.now_ms()
-            self._leaving.set()
+    def _on_terminate(self) -> None:
+        if not self._terminating.is_set():
+            self._terminated_ms = self._context.clock.now_ms()
+            self._terminating.set()
 
     def _drain(self) -> None:
         """Ends what runs, takes what still comes, then returns.
@@ -209,17 +211,20 @@
         self._callers.close_after_answers()
         gevent.spawn(self._placement.stop)
         while context.clock.now_ms() < self._exit_ms():
-            if context.clock.now_ms() - self._left_ms > _NOTICED_MS:
+            if (
+                context.clock.now_ms() - self._terminated_ms
+                > _BALANCER_NOTICE_MS
+            ):
                 self._callers.close_idle()
                 if not self._callers.busy:
                     break
-            gevent.sleep(_POLL_S)
+            gevent.sleep(_DRAIN_POLL_S)
         context.log.write("program.stopped", cut_short=self._callers.busy)
         context.log.flush()
 
     # Requests.
 
-    def _answer(self, request: RawRequest, reply: Reply) -> None:
+    def _handle_request(self, request: RawRequest, reply: Reply) -> None:
         context = self._context
         caller = context.dialect.decode_request(request)
         if caller.bad is not None:
@@ -233,7 +238,7 @@
             context.rng,
         )
         if isinstance(decision, Denied):
-            status = _DENIALS[decision.reason]
+            status = _DENIAL_STATUSES[decision.reason]
             self._deny(request, caller, reply, status, decision.reason.value)
             return
         budget_ms = decision.route.timeout_ms
@@ -242,7 +247,7 @@
         pending = Pending(
             request, caller, decision, reply, request.began_ms + budget_ms
         )
-        if self._comes_too_late(pending):
+        if self._would_outlive_exit(pending):
             self._answers.refuse(pending, "leaving", LEAVING_MS)
             return
         if self._crashes.is_quarantined(pending):
@@ -255,11 +260,11 @@
         else:
             self._calls.serve(pending)
 
-    def _comes_too_late(self, pending: Pending) -> bool:
+    def _would_outlive_exit(self, pending: Pending) -> bool:
         """Returns whether the exit would cut a request that begins now."""
-        if not self._leaving.is_set():
+        if not self._terminating.is_set():
             return False
-        late_ms = self._left_ms + _LATE_MS
+        late_ms = self._terminated_ms + _LATE_REQUEST_MS
         return (
             pending.request.began_ms > late_ms
             and pending.end_ms > self._exit_ms()
@@ -267,7 +272,7 @@
 
     def _exit_ms(self) -> int:
         drain_ms = self._context.settings.drain_ms
-        return self._left_ms + drain_ms - _EXIT_RESERVE_MS
+        return self._terminated_ms + drain_ms - _EXIT_RESERVE_MS
 
     def _deny(
         self,
@@ -295,12 +300,12 @@
         headers = context.dialect.own_headers(caller, after_ms)
         reply.send(status, headers, reason.encode())
 
-    def _answer_ready(self, request: RawRequest, reply: Reply) -> None:
+    def _handle_ready(self, request: RawRequest, reply: Reply) -> None:
         del request
         ready = self.ready
         reply.send(200 if ready else 503, [], b"ready" if ready else b"")
 
-    def _answer_metrics(self, request: RawRequest, reply: Reply) -> None:
+    def _handle_metrics(self, request: RawRequest, reply: Reply) -> None:
         del request
         kind = ("Content-Type", "text/plain; version=0.0.4")
         reply.send(200, [kind], self._context.telemetry.expose())
--- a/caroblug/gateway/_lease_holder_tracker.py
+++ b/caroblug/gateway/_lease_holder_tracker.py
@@ -9,7 +9,7 @@
 UNKNOWN_AGE_MS = 1_000_000
 """Age that is told where no holder was ever heard of."""
 
-_ON_ITS_WAY_MS = 300
+_REPORT_DELAY_MS = 300
 """Word of a holder that others still pass on after it has left: what they tell
 counts from when they heard it, and an exchange takes up to this."""
 
@@ -19,14 +19,14 @@
     """What a gateway has heard of holders, its own lease aside.
 
     Attributes:
-        began_ms: When the gateway began to listen.
+        started_ms: When the gateway began to listen.
     """
 
-    began_ms: int
+    started_ms: int
     _seen_ms: int | None = attrs.field(default=None, init=False)
     _left_ms: int | None = attrs.field(default=None, init=False)
 
-    def on_heard(self, heard_ms: int) -> None:
+    def on_holder_seen(self, seen_ms: int) -> None:
         """Notes that somebody heard of a holder at a moment.
 
         Guards against word of a holder that has left since: gateways that
@@ -34,12 +34,12 @@
         layers while engines leave and crash.
         """
         left_ms = self._left_ms
-        if left_ms is not None and heard_ms <= left_ms + _ON_ITS_WAY_MS:
+        if left_ms is not None and seen_ms <= left_ms + _REPORT_DELAY_MS:
             return
         self._left_ms = None
-        self._seen_ms = max(heard_ms, self._seen_ms or heard_ms)
+        self._seen_ms = max(seen_ms, self._seen_ms or seen_ms)
 
-    def on_left(self, now_ms: int) -> None:
+    def on_holder_left(self, now_ms: int) -> None:
         """Notes that the holder gives no more orders."""
         self._left_ms = now_ms
         self._seen_ms = None
@@ -58,5 +58,5 @@
         """Returns whether a deputy has to place layers."""
         if self._left_ms is not None:
             return True
-        since_ms = max(self.began_ms, self._seen_ms or self.began_ms)
+        since_ms = max(self.started_ms, self._seen_ms or self.started_ms)
         return now_ms - since_ms >= HOLDER_TIMEOUT_MS
--- a/caroblug/gateway/_peer_calls.py
+++ b/caroblug/gateway/_peer_calls.py
@@ -12,8 +12,8 @@
 
 Handler = Callable[[dict], dict]
 
-_CALL_S = 0.3
-UNREADABLE = (KeyError, TypeError, ValueError, AttributeError)
+_CALL_TIMEOUT_S = 0.3
+DECODE_ERRORS = (KeyError, TypeError, ValueError, AttributeError)
 """What a message of another form raises where it is taken apart."""
 
 
@@ -28,11 +28,11 @@
         self._context = context
         self._handlers: dict[str, Handler] = {}
 
-    def serve(self, path: str, handler: Handler) -> None:
+    def register(self, path: str, handler: Handler) -> None:
         """Lets a handler answer the messages that are sent to a path."""
         self._handlers[path] = handler
 
-    def answer(self, request: RawRequest, reply: Reply) -> None:
+    def handle_request(self, request: RawRequest, reply: Reply) -> None:
         """Answers another gateway."""
         handler = self._handlers.get(request.path)
         if handler is None:
@@ -40,8 +40,8 @@
             return
         try:
             answer = handler(json.loads(request.body))
-        except UNREADABLE as error:
-            self.note_unreadable(request.path, error)
+        except DECODE_ERRORS as error:
+            self.log_unreadable(request.path, error)
             reply.send(400, [], b"message does not parse")
             return
         reply.send(200, [], _encode(answer))
@@ -55,7 +55,7 @@
             ("Connection", "close"),
         ]
         request = format_request("POST", path, headers, _encode(message))
-        answer = fetch(address, request, _CALL_S)
+        answer = fetch(address, request, _CALL_TIMEOUT_S)
         if isinstance(answer, Broken):
             reason = answer.failure.value
             self._context.telemetry.count("peer_calls_failed", reason=reason)
@@ -64,11 +64,11 @@
             return Unavailable(f"status {answer.head.status}")
         try:
             return dict(json.loads(answer.body))
-        except UNREADABLE as error:
-            self.note_unreadable(path, error)
+        except DECODE_ERRORS as error:
+            self.log_unreadable(path, error)
             return Unavailable(f"answer does not parse: {error!r}")
 
-    def note_unreadable(self, path: str, error: Exception) -> None:
+    def log_unreadable(self, path: str, error: Exception) -> None:
         """Writes a line for a message that can't be taken apart."""
         self._context.log.write(
             "peer.unreadable", path=path, reason=repr(error)
--- a/caroblug/gateway/_peers.py
+++ b/caroblug/gateway/_peers.py
@@ -20,45 +20,45 @@
     UNKNOWN_AGE_MS,
     LeaseHolderTracker,
 )
-from caroblug.gateway._peer_calls import UNREADABLE, PeerCalls
-from caroblug.gateway._readers import Readers
+from caroblug.gateway._peer_calls import DECODE_ERRORS, PeerCalls
+from caroblug.gateway._reader_ranking import ReaderRanking
 
-TELL_PATH = "/tell"
+EXCHANGE_PATH = "/tell"
 
-_EVERY_MS = 500
+_EXCHANGE_INTERVAL_MS = 500
 """How often two gateways exchange: short beside the two seconds of a stream
 whose load is told, and beside the time in which a change is to be in force."""
 
-_FRESH_MS = 300
+_RECENT_EXCHANGE_MS = 300
 """Two gateways exchange once for both: who was told this lately does not tell.
 It halves the exchanges."""
 
-_PARTNERS = 4
+_MAX_PARTNERS = 4
 """Gateways told each time: with five or fewer, everybody."""
 
-_FAR_PARTNERS = 1
+_MAX_REMOTE_PARTNERS = 1
 """Of these, how many are in other data centres if there are enough at home:
 bytes between data centres are paid for, and it is the own data centre's
 engines that are shared. One each time still carries news through fifty
 gateways in two seconds."""
 
-_READER_PARTNERS = 8
+_MAX_READER_PARTNERS = 8
 """The same for the gateway that reads the list for its data centre: what it
 has read is to reach the others before they read it themselves."""
 
-_MEMBERS_MS = 30000
+_MEMBERS_INTERVAL_MS = 30000
 """How often the members are read: most gateways learn of a new one sooner, as
 it tells them."""
 
-_FIRST_MEMBERS_MS = 1000
-_FIRST_READS = 4
+_INITIAL_MEMBERS_INTERVAL_MS = 1000
+_INITIAL_MEMBERS_READS = 4
 """Reads with the shorter pause after a start, while gateways join."""
 
-_KEPT_MS = 45000
+_MEMBER_RETENTION_MS = 45000
 """How long a gateway that has left the group is still told: its lease may
 have run out only because the store was away."""
 
-_SILENT_MS = 1500
+_PEER_TIMEOUT_MS = 1500
 """After this a gateway's load is forgotten: its streams have been taken over
 or are lost."""
 
@@ -87,29 +87,31 @@
         self._crashes = crashes
         self._registry = registry
         self._members: dict[str, Address] = {}
-        self._seen_ms: dict[str, int] = {}
-        self._heard_ms: dict[str, int] = {}
-        self._busy: set[str] = set()
+        self._member_seen_ms: dict[str, int] = {}
+        self._received_ms: dict[str, int] = {}
+        self._exchanging: set[str] = set()
         self._fetch_from: set[str] = set()
         self._lease_states: dict[str, LeaseState] = {}
-        self._near: set[str] = set()
-        self._far: set[str] = set()
-        self._holders = LeaseHolderTracker(context.clock.now_ms())
+        self._local: set[str] = set()
+        self._remote: set[str] = set()
+        self._holder_tracker = LeaseHolderTracker(context.clock.now_ms())
         self._versions: dict[str, int] = {}
-        self._readers = Readers(context.clock, context.settings.instance)
-        self._repeats_left: dict[str, dict[str, int]] = {}
+        self._reader_ranking = ReaderRanking(
+            context.clock, context.settings.instance
+        )
+        self._retries_left: dict[str, dict[str, int]] = {}
         self._fetching_version = -1
-        self._news = event.Event()
-        self._configurations = TextCompressor()
-        self._lists = TextCompressor()
+        self._new_version = event.Event()
+        self._configuration_compressor = TextCompressor()
+        self._list_compressor = TextCompressor()
         self._calls = PeerCalls(context)
-        self._calls.serve(TELL_PATH, self._handle_message)
+        self._calls.register(EXCHANGE_PATH, self._handle_message)
         self.lease_state = LeaseState.NONE
 
     @property
-    def readers(self) -> Readers:
+    def reader_ranking(self) -> ReaderRanking:
         """Who reads at the store for this data centre."""
-        return self._readers
+        return self._reader_ranking
 
     @property
     def calls(self) -> PeerCalls:
@@ -125,24 +127,29 @@
             if not isinstance(members, Unavailable):
                 for member in members:
                     self._add_member(member)
-            self._forget_old()
-            young = reads <= _FIRST_READS and not self._enough()
-            pause_ms = _FIRST_MEMBERS_MS if young else _MEMBERS_MS
+            self._remove_expired_members()
+            young = (
+                reads <= _INITIAL_MEMBERS_READS
+                and not self._knows_enough_members()
+            )
+            pause_ms = (
+                _INITIAL_MEMBERS_INTERVAL_MS if young else _MEMBERS_INTERVAL_MS
+            )
             gevent.sleep(pause_ms / 1000)
 
     def run_exchange(self) -> None:
         """Tells others until the process ends."""
         while True:
-            if self._news.wait(_EVERY_MS / 1000):
-                self._news.clear()
-                partners = self._uninformed()
+            if self._new_version.wait(_EXCHANGE_INTERVAL_MS / 1000):
+                self._new_version.clear()
+                partners = self._choose_outdated()
             else:
-                self._forget_silent()
-                partners = self._partners()
+                self._remove_silent_peers()
+                partners = self._choose_partners()
             for name in partners:
-                if name not in self._busy:
-                    self._busy.add(name)
-                    gevent.spawn(self._tell, name)
+                if name not in self._exchanging:
+                    self._exchanging.add(name)
+                    gevent.spawn(self._exchange, name)
 
     def on_new_version(self, confirmed_ms: int) -> None:
         """Tells others at once of a newer configuration.
@@ -150,8 +157,8 @@
         Args:
             confirmed_ms: When it was known to be the newest one.
         """
-        self._readers.start_version(confirmed_ms)
-        self._news.set()
+        self._reader_ranking.on_new_version(confirmed_ms)
+        self._new_version.set()
 
     def call(self, name: str, path: str, message: dict) -> dict | Unavailable:
         """Sends a message to a gateway by its name."""
@@ -164,7 +171,7 @@
         """Returns the gateways that have repeats left, most first."""
         left = {
             name: counts.get(service, 0)
-            for name, counts in self._repeats_left.items()
+            for name, counts in self._retries_left.items()
             if name in self._members
         }
         names = [name for name, count in left.items() if count > 1]
@@ -172,30 +179,31 @@
 
     def on_lent(self, name: str, service: str, lent: int) -> None:
         """Notes that a gateway has lent repeats, or had none to lend."""
-        counts = self._repeats_left.get(name)
+        counts = self._retries_left.get(name)
         if counts is not None:
             left = counts.get(service, 0) - lent if lent else 0
             counts[service] = left
 
     # Telling.
 
-    def _partners(self) -> list[str]:
+    def _choose_partners(self) -> list[str]:
         now_ms = self._context.clock.now_ms()
         wanted = sorted(self._fetch_from & set(self._members))
         self._fetch_from.clear()
         names = [
             name
             for name in sorted(self._members)
-            if now_ms - self._heard_ms.get(name, -_FRESH_MS) >= _FRESH_MS
+            if now_ms - self._received_ms.get(name, -_RECENT_EXCHANGE_MS)
+            >= _RECENT_EXCHANGE_MS
             and name not in wanted
         ]
         rng = self._context.rng
         reads = bool(self._lease_states) and self.is_first_local_reader()
-        most = _READER_PARTNERS if reads else _PARTNERS
+        most = _MAX_READER_PARTNERS if reads else _MAX_PARTNERS
         chosen = rng.sample(wanted, min(len(wanted), most))
         return chosen + self._sample(names, most - len(chosen))
 
-    def _uninformed(self) -> list[str]:
+    def _choose_outdated(self) -> list[str]:
         """Returns whom to tell of a newer configuration."""
         mine = self._version()
         names = [
@@ -203,30 +211,30 @@
             for name in sorted(self._members)
             if self._versions.get(name, -1) < mine
         ]
-        return self._sample(names, _PARTNERS)
+        return self._sample(names, _MAX_PARTNERS)
 
     def _sample(self, names: list[str], most: int) -> list[str]:
         """Chooses gateways at random, most of them in the own data centre."""
         if len(names) <= most:
             return names
         rng = self._context.rng
-        far = [name for name in names if name in self._far]
-        near = [name for name in names if name not in self._far]
-        chosen = rng.sample(far, min(len(far), most, _FAR_PARTNERS))
+        far = [name for name in names if name in self._remote]
+        near = [name for name in names if name not in self._remote]
+        chosen = rng.sample(far, min(len(far), most, _MAX_REMOTE_PARTNERS))
         rest = most - len(chosen)
         return chosen + rng.sample(near, min(len(near), rest))
 
-    def _tell(self, name: str) -> None:
+    def _exchange(self, name: str) -> None:
         try:
-            answer = self.call(name, TELL_PATH, self._build_message())
+            answer = self.call(name, EXCHANGE_PATH, self._build_message())
         finally:
-            self._busy.discard(name)
+            self._exchanging.discard(name)
         if isinstance(answer, Unavailable):
             return
         try:
-            self._take_answer(answer, name)
-        except UNREADABLE as error:
-            self._calls.note_unreadable(TELL_PATH, error)
+            self._handle_answer(answer, name)
+        except DECODE_ERRORS as error:
+            self._calls.log_unreadable(EXCHANGE_PATH, error)
 
     def _build_message(self) -> dict:
         context = self._context
@@ -239,9 +247,9 @@
             "data_centre": settings.data_centre,
             "loads": context.fleet.loads.own(),
             "version": self._version(),
-            "version_age_ms": self._readers.version_age_ms,
-            "rank": self._readers.rank,
-            "repeats": self._count_repeats(now_ms),
+            "version_age_ms": self._reader_ranking.version_age_ms,
+            "rank": self._reader_ranking.rank,
+            "repeats": self._count_retries_left(now_ms),
             "list_age_ms": self._list_age_ms(),
             "list_digest": context.fleet.listing.digest,
             "list_end": context.fleet.listing.end,
@@ -267,29 +275,31 @@
         answer = self._build_message()
         if message["version"] < self._version():
             raw = self._context.raw_configuration
-            answer["packed_configuration"] = self._configurations.compress(raw)
+            answer["packed_configuration"] = (
+                self._configuration_compressor.compress(raw)
+            )
         elif message["version"] > self._version():
-            self._fetch(name, int(message["version"]))
-        if self._differs(message) and answer["list_age_ms"] < int(
+            self._fetch_configuration(name, int(message["version"]))
+        if self._has_different_list(message) and answer["list_age_ms"] < int(
             message["list_age_ms"]
         ):
             raw = self._context.fleet.listing.raw
-            answer["packed_list"] = self._lists.compress(raw)
+            answer["packed_list"] = self._list_compressor.compress(raw)
         return answer
 
-    def _fetch(self, name: str, version: int) -> None:
+    def _fetch_configuration(self, name: str, version: int) -> None:
         """Asks a gateway for its newer configuration, at once.
 
         Only an answer carries a configuration. Who is told often enough tells
         nobody itself, and would never get the newer one.
         """
         self._fetch_from.add(name)
-        if version > self._fetching_version and name not in self._busy:
+        if version > self._fetching_version and name not in self._exchanging:
             self._fetching_version = version
-            self._busy.add(name)
-            gevent.spawn(self._tell, name)
+            self._exchanging.add(name)
+            gevent.spawn(self._exchange, name)
 
-    def _count_repeats(self, now_ms: int) -> dict[str, int]:
+    def _count_retries_left(self, now_ms: int) -> dict[str, int]:
         """Returns how many repeats are left, by service."""
         context = self._context
         known = context.configuration
@@ -299,11 +309,11 @@
             for name in (known.services if known is not None else ())
         }
 
-    def _differs(self, message: dict) -> bool:
+    def _has_different_list(self, message: dict) -> bool:
         """Returns whether another gateway's list has other entries."""
         return message["list_digest"] != self._context.fleet.listing.digest
 
-    def _take_answer(self, answer: dict, name: str) -> None:
+    def _handle_answer(self, answer: dict, name: str) -> None:
         context = self._context
         self._apply_peer_state(name, answer)
         packed = answer.get("packed_configuration")
@@ -333,26 +343,28 @@
         if member.name == self._context.settings.instance:
             return
         self._members[member.name] = member.address
-        self._seen_ms[member.name] = self._context.clock.now_ms()
+        self._member_seen_ms[member.name] = self._context.clock.now_ms()
 
     def _apply_peer_state(self, name: str, message: dict) -> None:
         home = message["data_centre"] == self._context.settings.data_centre
-        (self._near if home else self._far).add(name)
-        self._on_loads(name, message["loads"])
-        self._on_suspects(message["suspects"])
-        self._on_told(message["told"])
-        self._on_leaving(message["leaving"])
+        (self._local if home else self._remote).add(name)
+        self._apply_loads(name, message["loads"])
+        self._apply_suspects(message["suspects"])
+        self._apply_engine_reports(message["told"])
+        self._apply_leaving(message["leaving"])
         # Gateways of the version before don't say it.
-        self._on_paces(message.get("paces", {}))
-        self._on_unanswered(message.get("unanswered", {}))
-        self._on_list_age(name, message)
+        self._apply_paces(message.get("paces", {}))
+        self._apply_unanswered_orders(message.get("unanswered", {}))
+        self._apply_list_age(name, message)
         # Gateways of the version before say neither rank nor age.
-        self._readers.hear(name, int(message.get("rank", 0)))
+        self._reader_ranking.set_rank(name, int(message.get("rank", 0)))
         self._versions[name] = int(message["version"])
         if self._versions[name] == self._version():
             age_ms = int(message.get("version_age_ms", UNKNOWN_AGE_MS))
-            self._readers.confirm_version(self._context.clock.now_ms() - age_ms)
-        self._repeats_left[name] = {
+            self._reader_ranking.confirm_version(
+                self._context.clock.now_ms() - age_ms
+            )
+        self._retries_left[name] = {
             str(service): int(left)
             for service, left in message.get("repeats", {}).items()
         }
@@ -362,21 +374,21 @@
         self._lease_states[name] = LeaseState(message["tenure"])
         holder_age_ms = int(message["holder_age_ms"])
         if holder_age_ms < UNKNOWN_AGE_MS:
-            self._holders.on_heard(now_ms - holder_age_ms)
+            self._holder_tracker.on_holder_seen(now_ms - holder_age_ms)
         if (before, self._lease_states[name]) == (
             LeaseState.HELD,
             LeaseState.LEAVING,
         ):
             # It gives no more orders: a deputy need not wait for its silence.
-            self._holders.on_left(now_ms)
+            self._holder_tracker.on_holder_left(now_ms)
 
-    def _on_list_age(self, name: str, message: dict) -> None:
+    def _apply_list_age(self, name: str, message: dict) -> None:
         """Takes the age of another gateway's list as one's own if it's equal.
 
         A list that differs and is younger is fetched with the next exchange.
         """
         age_ms = int(message["list_age_ms"])
-        if not self._differs(message):
+        if not self._has_different_list(message):
             listed_ms = self._context.clock.now_ms() - age_ms
             self._context.fleet.confirm_listing(
                 message["list_digest"], int(message["list_end"]), listed_ms
@@ -384,14 +396,14 @@
         elif age_ms < self._list_age_ms():
             self._fetch_from.add(name)
 
-    def _on_told(self, told: dict) -> None:
+    def _apply_engine_reports(self, told: dict) -> None:
         """Takes what engines have told another gateway of their layers."""
         now_ms = self._context.clock.now_ms()
         for engine, (first, end, age_ms) in told.items():
             layers = LayerRange(int(first), int(end))
             self._context.fleet.on_report(engine, layers, now_ms - int(age_ms))
 
-    def _on_leaving(self, leaving: dict) -> None:
+    def _apply_leaving(self, leaving: dict) -> None:
         """Takes which backend servers another gateway has found to leave.
 
         Guards against a store that is away: each gateway would find out by
@@ -401,7 +413,7 @@
         for name, age_ms in leaving.items():
             self._context.fleet.on_leaving(str(name), now_ms - int(age_ms))
 
-    def _on_paces(self, paces: dict) -> None:
+    def _apply_paces(self, paces: dict) -> None:
         """Takes how slow engines have told another gateway that they are.
 
         Guards against finding out one gateway after the other: each has few
@@ -413,7 +425,7 @@
                 str(name), float(pace), now_ms - int(age_ms)
             )
 
-    def _on_unanswered(self, unanswered: dict) -> None:
+    def _apply_unanswered_orders(self, unanswered: dict) -> None:
         """Takes which orders of another gateway may still be carried out.
 
         Guards against the death of who gave them: the next one to place
@@ -425,17 +437,17 @@
                 str(name), now_ms - int(age_ms)
             )
 
-    def _on_loads(self, name: str, loads: dict) -> None:
+    def _apply_loads(self, name: str, loads: dict) -> None:
         tokens = {str(key): float(value) for key, value in loads.items()}
-        self._heard_ms[name] = self._context.clock.now_ms()
+        self._received_ms[name] = self._context.clock.now_ms()
         loads = self._context.fleet.loads
-        loads.hear(name, tokens, near=name not in self._far)
+        loads.hear(name, tokens, near=name not in self._remote)
         # Whose data centre isn't known yet is no neighbour: at the start
         # that is everybody, for a second.
-        known = self._near & set(self._members)
+        known = self._local & set(self._members)
         loads.neighbours = len(known) + 1
 
-    def _on_suspects(self, names: list) -> None:
+    def _apply_suspects(self, names: list) -> None:
         """Looks into what another gateway takes to be gone.
 
         Its word alone isn't believed: it may itself be cut off.
@@ -444,16 +456,20 @@
 
     def is_first_local_reader(self) -> bool:
         """Returns whether this is the first reader of its data centre."""
-        return self._readers.is_first(self._neighbours())
+        return self._reader_ranking.is_first_reader(self._local_peers())
 
     def reads_configuration(self) -> bool:
         """Returns whether this gateway waits at the store for changes."""
-        heard_ms = max(self._heard_ms.values(), default=0)
-        return self._readers.waits(self._neighbours(), heard_ms)
+        heard_ms = max(self._received_ms.values(), default=0)
+        return self._reader_ranking.waits_for_changes(
+            self._local_peers(), heard_ms
+        )
 
-    def _neighbours(self) -> list[str]:
+    def _local_peers(self) -> list[str]:
         """Returns other gateways of the data centre that are heard."""
-        return [name for name in self._staying() if name not in self._far]
+        return [
+            name for name in self._active_peers() if name not in self._remote
+        ]
 
     def is_acting_standby(self) -> bool:
         """Returns whether this gateway places layers for want of a holder.
@@ -463,16 +479,16 @@
         """
         if self.lease_state is LeaseState.HELD:
             return False
-        if not self._holders.is_missing(self._context.clock.now_ms()):
+        if not self._holder_tracker.is_missing(self._context.clock.now_ms()):
             return False
         me = self._context.settings.instance
-        return me == min([me, *self._staying()])
+        return me == min([me, *self._active_peers()])
 
     def another_holds_lease(self) -> bool:
         """Returns whether another gateway says that it holds the lease."""
         return LeaseState.HELD in self._lease_states.values()
 
-    def _staying(self) -> list[str]:
+    def _active_peers(self) -> list[str]:
         """Returns the names of gateways that are heard and don't leave."""
         return [
             name
@@ -484,36 +500,36 @@
         """Returns how long ago a holder of the lease was heard of."""
         if self.lease_state is LeaseState.HELD:
             return 0
-        return self._holders.age_ms(now_ms)
+        return self._holder_tracker.age_ms(now_ms)
 
     def describe_lease_states(self) -> dict[str, str]:
         """Returns how the gateways that are heard stand to the lease."""
         return {name: t.value for name, t in self._lease_states.items()}
 
-    def _forget_old(self) -> None:
+    def _remove_expired_members(self) -> None:
         now_ms = self._context.clock.now_ms()
-        for name, seen_ms in list(self._seen_ms.items()):
-            if now_ms - seen_ms > _KEPT_MS:
-                del self._seen_ms[name]
+        for name, seen_ms in list(self._member_seen_ms.items()):
+            if now_ms - seen_ms > _MEMBER_RETENTION_MS:
+                del self._member_seen_ms[name]
                 del self._members[name]
                 self._versions.pop(name, None)
-                self._readers.forget(name)
-                self._near.discard(name)
-                self._far.discard(name)
+                self._reader_ranking.remove(name)
+                self._local.discard(name)
+                self._remote.discard(name)
 
-    def _forget_silent(self) -> None:
+    def _remove_silent_peers(self) -> None:
         now_ms = self._context.clock.now_ms()
-        for name, heard_ms in list(self._heard_ms.items()):
-            if now_ms - heard_ms > _SILENT_MS:
-                del self._heard_ms[name]
+        for name, heard_ms in list(self._received_ms.items()):
+            if now_ms - heard_ms > _PEER_TIMEOUT_MS:
+                del self._received_ms[name]
                 self._lease_states.pop(name, None)
-                self._repeats_left.pop(name, None)
+                self._retries_left.pop(name, None)
                 self._context.fleet.loads.forget(name)
 
-    def _enough(self) -> bool:
+    def _knows_enough_members(self) -> bool:
         """Returns whether as many are known as are told each time."""
         gateways = self._context.fleet.loads.gateways
-        return len(self._members) >= max(1, min(gateways - 1, _PARTNERS))
+        return len(self._members) >= max(1, min(gateways - 1, _MAX_PARTNERS))
 
     def _version(self) -> int:
         known = self._context.configuration
--- a/caroblug/gateway/_readers.py
+++ b/caroblug/gateway/_reader_ranking.py
@@ -12,26 +12,26 @@
 from caroblug.gateway._lease_holder_tracker import UNKNOWN_AGE_MS
 from caroblug.utils import Clock
 
-_READERS = 2
+_READERS_PER_DATA_CENTRE = 2
 """Gateways of a data centre that wait at the store for a newer configuration;
 one may be frozen or cut off."""
 
-_FOLLOWED_MS = 4500
+_CONFIRMATION_TIMEOUT_MS = 4500
 """Time since the configuration was last known to be the newest after which a
 gateway reads it itself: the wait of a reader, and some exchanges."""
 
-_ISOLATED_MS = 1000
+_ISOLATION_TIMEOUT_MS = 1000
 """The same since any other gateway was heard of."""
 
-_RANK_MS = 8
+_RANK_UNIT_MS = 8
 """Unit of the time of a read by which gateways are ranked; each rank is twice
 as long as the one before."""
 
-_UNREACHED_RANK = 30
+_FAILED_READ_RANK = 30
 """Rank of a gateway whose last read failed."""
 
 
-class Readers:
+class ReaderRanking:
     """Ranks gateways as readers.
 
     Args:
@@ -58,43 +58,45 @@
             return UNKNOWN_AGE_MS
         return min(UNKNOWN_AGE_MS, self._clock.now_ms() - self._confirmed_ms)
 
-    def note_read(self, took_ms: int | None) -> None:
+    def record_read(self, took_ms: int | None) -> None:
         """Ranks this gateway by a read of the list.
 
         Args:
             took_ms: Time that it took; None if it failed.
         """
         if took_ms is None:
-            self._rank = _UNREACHED_RANK
+            self._rank = _FAILED_READ_RANK
         else:
-            self._rank = (took_ms // _RANK_MS).bit_length()
+            self._rank = (took_ms // _RANK_UNIT_MS).bit_length()
 
-    def hear(self, name: str, rank: int) -> None:
+    def set_rank(self, name: str, rank: int) -> None:
         """Takes the rank that another gateway tells."""
         self._ranks[name] = rank
 
-    def forget(self, name: str) -> None:
+    def remove(self, name: str) -> None:
         """Drops a gateway that has left."""
         self._ranks.pop(name, None)
 
-    def confirm_version(self, at_ms: int) -> None:
+    def confirm_version(self, confirmed_ms: int) -> None:
         """Notes that the configuration was the newest one at a moment."""
-        if self._confirmed_ms is None or at_ms > self._confirmed_ms:
-            self._confirmed_ms = at_ms
+        if self._confirmed_ms is None or confirmed_ms > self._confirmed_ms:
+            self._confirmed_ms = confirmed_ms
 
-    def start_version(self, at_ms: int) -> None:
+    def on_new_version(self, confirmed_ms: int) -> None:
         """Notes a newer configuration, and when it was the newest one."""
-        self._confirmed_ms = at_ms
+        self._confirmed_ms = confirmed_ms
 
-    def is_first(self, neighbours: Iterable[str]) -> bool:
+    def is_first_reader(self, neighbours: Iterable[str]) -> bool:
         """Returns whether this gateway is the first reader.
 
         Args:
             neighbours: Other gateways of the data centre that are heard.
         """
-        return self._place(neighbours) == 0
+        return self._count_ahead(neighbours) == 0
 
-    def waits(self, neighbours: Iterable[str], heard_ms: int) -> bool:
+    def waits_for_changes(
+        self, neighbours: Iterable[str], received_ms: int
+    ) -> bool:
         """Returns whether this gateway waits at the store for changes.
 
         Guards against links that are full: a large configuration would come
@@ -103,15 +105,18 @@
 
         Args:
             neighbours: Other gateways of the data centre that are heard.
-            heard_ms: When any gateway was last heard.
+            received_ms: When any gateway was last heard.
         """
-        if self._confirmed_ms is None or self._place(neighbours) < _READERS:
+        if (
+            self._confirmed_ms is None
+            or self._count_ahead(neighbours) < _READERS_PER_DATA_CENTRE
+        ):
             return True
-        if self._clock.now_ms() - heard_ms > _ISOLATED_MS:
+        if self._clock.now_ms() - received_ms > _ISOLATION_TIMEOUT_MS:
             return True
-        return self.version_age_ms > _FOLLOWED_MS
+        return self.version_age_ms > _CONFIRMATION_TIMEOUT_MS
 
-    def _place(self, neighbours: Iterable[str]) -> int:
+    def _count_ahead(self, neighbours: Iterable[str]) -> int:
         """Returns how many neighbours read rather than this gateway."""
         mine = (self._rank, self._instance)
         return sum(
--- a/caroblug/gateway/_settings.py
+++ b/caroblug/gateway/_settings.py
@@ -4,8 +4,8 @@
 
 Address = tuple[str, int]
 
-_MOST_PORT = 65535
-_MOST_MS = 3_600_000
+_MAX_PORT = 65535
+_MAX_MS = 3_600_000
 
 
 @attrs.frozen
@@ -65,12 +65,12 @@
 
 
 _RANGES: dict[str, tuple[float, float]] = {
-    "heartbeat_ms": (1, _MOST_MS),
-    "drain_ms": (1, _MOST_MS),
+    "heartbeat_ms": (1, _MAX_MS),
+    "drain_ms": (1, _MAX_MS),
     "retry_ratio": (0, 10),
     "retry_extra": (0, 1e9),
-    "retry_window_ms": (1, _MOST_MS),
-    "lease_least_ms": (1, _MOST_MS),
+    "retry_window_ms": (1, _MAX_MS),
+    "lease_least_ms": (1, _MAX_MS),
     "store_partitions": (1, 100_000),
 }
 
@@ -85,11 +85,11 @@
             return SettingsProblem(file, name, f"must be text, got {value!r}")
     for name in ("callers", "ready", "metrics", "peers", "store"):
         host, port = getattr(settings, name)
-        if not host or not 0 <= port <= _MOST_PORT:
+        if not host or not 0 <= port <= _MAX_PORT:
             return SettingsProblem(
                 file,
                 name,
-                f"must be HOST:PORT with a port from 0 to {_MOST_PORT}, "
+                f"must be HOST:PORT with a port from 0 to {_MAX_PORT}, "
                 f"got {host}:{port}",
             )
     for name, (low, high) in _RANGES.items():
--- a/caroblug/gateway/_telemetry.py
+++ b/caroblug/gateway/_telemetry.py
@@ -11,7 +11,7 @@
 
 _LOWEST_US = 1
 _HIGHEST_US = 600_000_000
-_DIGITS = 2
+_SIGNIFICANT_DIGITS = 2
 _US_PER_MS = 1000
 _QUANTILES = (50.0, 95.0, 99.0, 100.0)
 
@@ -41,7 +41,9 @@
         key = (name, tuple(labels.items()))
         histogram = self._histograms.get(key)
         if histogram is None:
-            histogram = HdrHistogram(_LOWEST_US, _HIGHEST_US, _DIGITS)
+            histogram = HdrHistogram(
+                _LOWEST_US, _HIGHEST_US, _SIGNIFICANT_DIGITS
+            )
             self._histograms[key] = histogram
         us = min(max(int(ms * _US_PER_MS), _LOWEST_US), _HIGHEST_US)
         histogram.record_value(us)
--- a/caroblug/gateway/tests/test_configuration_spread.py
+++ b/caroblug/gateway/tests/test_configuration_spread.py
@@ -52,14 +52,14 @@
 def test_gateway_with_slow_reads_leaves_reading_to_the_others():
     # Guards against transfers over a slow link that a fast one could carry.
     context, peers = make_peers("g0")
-    peers.readers.note_read(200)
+    peers.reader_ranking.record_read(200)
 
     assert not peers.reads_configuration()
 
 
 def test_gateway_with_failed_reads_leaves_reading_to_the_others():
     context, peers = make_peers("g0")
-    peers.readers.note_read(None)
+    peers.reader_ranking.record_read(None)
 
     assert not peers.reads_configuration()
 
@@ -93,7 +93,7 @@
     context.configuration = peers._registry.decode_configuration("7")
 
     answer = peers._handle_message(other_peers._build_message())
-    other_peers._take_answer(answer, "g1")
+    other_peers._handle_answer(answer, "g1")
 
     assert other.configuration.version == 7
     assert other.raw_configuration == RAW
@@ -108,14 +108,14 @@
     for name in ("g1", "g2", "g3"):
         peers._handle_message({**message, "name": name, "version": 9})
 
-    assert len(peers._busy) == 1
+    assert len(peers._exchanging) == 1
 
 
 def test_older_configuration_is_not_decompressed():
     context, peers = make_peers()
     answer = make_peers("g1")[1]._build_message()
 
-    peers._take_answer({**answer, "packed_configuration": "invalid"}, "g1")
+    peers._handle_answer({**answer, "packed_configuration": "invalid"}, "g1")
 
     assert context.configuration.version == 5
 
--- a/caroblug/gateway/tests/test_decision_log.py
+++ b/caroblug/gateway/tests/test_decision_log.py
@@ -27,7 +27,7 @@
 
 def test_lines_carry_the_instance():
     log, reader, _, _ = make_log()
-    log.take({"message_type": "x", "request": "r1"})
+    log.enqueue({"message_type": "x", "request": "r1"})
     log.flush()
 
     assert read_lines(reader) == [
@@ -39,31 +39,31 @@
     # Guards against a gateway that blocks on a log which nobody reads.
     log, reader, _, _ = make_log()
     for number in range(10_000):
-        log.take({"message_type": "x", "number": number, "pad": "p" * 100})
+        log.enqueue({"message_type": "x", "number": number, "pad": "p" * 100})
         log.flush()
-    left_out = log.left_out
-    assert left_out > 0
+    dropped = log.dropped
+    assert dropped > 0
     while read_lines(reader):
         log.flush()
-    log.take({"message_type": "y"})
+    log.enqueue({"message_type": "y"})
     log.flush()
 
     last = read_lines(reader)[-1]
     assert last["message_type"] == "y"
-    assert last["left_out"] == left_out
+    assert last["left_out"] == dropped
 
 
 def test_successes_are_bounded_each_second_and_failures_are_not():
     log, _, _, clock = make_log()
     for _ in range(300):
         log.write("request", status=200)
-    assert log.left_out == 200
+    assert log.dropped == 200
     for _ in range(300):
         log.write("request.failed", status=503)
-    assert log.left_out == 200
+    assert log.dropped == 200
     clock.advance(1000)
     log.write("request", status=200)
-    assert log.left_out == 200
+    assert log.dropped == 200
 
 
 def test_closed_output_is_no_reason_to_stop():
@@ -71,8 +71,8 @@
     # A file object closes at once; os.close may be gevent's, which waits for
     # the event loop where stand-ins of other tests have patched it.
     open(reader, "rb", buffering=0).close()
-    log.take({"message_type": "x"})
+    log.enqueue({"message_type": "x"})
     log.flush()
 
-    assert log.left_out == 1
+    assert log.dropped == 1
     os.close(writer)
--- a/caroblug/gateway/tests/test_peer_calls.py
+++ b/caroblug/gateway/tests/test_peer_calls.py
@@ -21,9 +21,9 @@
 
 def answer(path: str, body: bytes) -> FakeReply:
     calls = PeerCalls(make_context())
-    calls.serve("/double", lambda message: {"twice": message["number"] * 2})
+    calls.register("/double", lambda message: {"twice": message["number"] * 2})
     reply = FakeReply()
-    calls.answer(RawRequest("POST", path, [], body, False, 0), reply)
+    calls.handle_request(RawRequest("POST", path, [], body, False, 0), reply)
     return reply
 
 
