--- a/caroblug/gateway/_context.py
+++ b/caroblug/gateway/_context.py
@@ -1,4 +1,4 @@
-"""What the parts of one gateway share."""
+"""State and services shared by the components of one gateway."""
 
 import random
 
@@ -16,22 +16,22 @@
 
 @attrs.define
 class Context:
-    """What the parts of one gateway share.
+    """Holds the state and services shared by the components of one gateway.
 
     Attributes:
-        settings: The settings in force.
+        settings: Current settings.
         clock: Source of time.
-        rng: Source of randomness.
-        dialect: How requests look on the wire.
-        fleet: Backend servers.
-        retry_budget: What may be sent a second time.
-        retry_after: When refused callers are asked to come back.
-        log: Log of decisions.
-        telemetry: Metrics.
-        configuration: The newest configuration; None before the first.
-        configuration_ms: When it was taken.
-        raw_configuration: The same as the operator wrote it.
-        engines_to_probe: Engines that are to be asked about themselves.
+        rng: Random number generator.
+        dialect: Wire format of requests, answers, reports and orders.
+        fleet: Known backend servers and their state.
+        retry_budget: Bound on requests that are sent again.
+        retry_after: Chooses the delay after which refused callers may retry.
+        log: Decision log.
+        telemetry: Counters, gauges and latency histograms.
+        configuration: Newest known configuration; None before the first read.
+        configuration_ms: When that configuration was applied.
+        raw_configuration: Text of that configuration as the operator wrote it.
+        engines_to_probe: Names of engines whose reports are to be read soon.
     """
 
     settings: GatewaySettings
@@ -49,7 +49,7 @@
     engines_to_probe: set[str] = attrs.field(factory=set)
 
     def limits(self) -> RequestLimits:
-        """Returns what callers may send."""
+        """Returns the limits on requests of callers."""
         if self.configuration is None:
             return RequestLimits()
         return self.configuration.limits
@@ -57,18 +57,18 @@
     def apply_configuration(
         self, configuration: Configuration, raw: str, source: str
     ) -> bool:
-        """Takes a configuration, unless a newer one is known.
+        """Applies a configuration unless it is no newer than the current one.
 
-        Guards against an answer of the store from before a change: requests
-        would be handled by rules that were withdrawn.
+        Guards against a stale answer of the store, after which requests would
+        be handled by rules that are no longer valid.
 
         Args:
             configuration: The configuration.
-            raw: The same as the operator wrote it.
+            raw: Its text as the operator wrote it.
             source: Where it came from, for the log.
 
         Returns:
-            Whether it was news.
+            Whether the configuration was applied.
         """
         known = self.configuration
         if known is not None and configuration.version <= known.version:
--- a/caroblug/gateway/_decision_log.py
+++ b/caroblug/gateway/_decision_log.py
@@ -1,8 +1,8 @@
-"""Structured log lines on standard output, bounded and never waited for.
+"""Non-blocking structured log on standard output.
 
 Lines go through eliot into a buffer of bounded size, and from there to
-standard output as fast as its reader takes them. What is left out is counted
-and the count is written with the next line that has room.
+standard output as fast as its reader accepts them. Lines that don't fit are
+dropped and counted, and the count is written with the next line that fits.
 """
 
 import collections
@@ -18,23 +18,24 @@
 from caroblug.utils import Clock
 
 _MAX_BUFFERED_LINES = 2000
-"""Lines kept while nobody reads: 0.6 MB at 300 bytes a line."""
+"""Limit on the lines buffered while standard output is not read. It amounts to
+0.6 MB at 300 bytes a line."""
 
 _MAX_LINES_PER_S = {"request": 100}
-"""Lines a second of the kinds that are many; failures have no bound of their
-own but the buffer's, so that they go before successes."""
+"""Rate limit of the frequent kinds, in lines a second. Failures are limited
+only by the size of the buffer, so that they take precedence over successes."""
 
 _FLUSH_INTERVAL_S = 0.1
 _WRITABLE_TIMEOUT_S = 1.0
 
 
 class DecisionLog:
-    """Writes one line for each decision.
+    """Writes one log line for each decision.
 
     Args:
-        instance: Name of the instance, in every line.
+        instance: Name of the instance, written in every line.
         clock: Source of time.
-        fd: File descriptor that lines go to.
+        fd: File descriptor that the lines are written to.
     """
 
     def __init__(self, instance: str, clock: Clock, fd: int = 1) -> None:
@@ -48,24 +49,29 @@
 
     @property
     def dropped(self) -> int:
-        """Lines left out since the last line that told of them."""
+        """Lines dropped since the last line that reported the count."""
         return self._dropped
 
     def start(self) -> None:
-        """Begins to write."""
+        """Registers the log with eliot and starts the writing greenlet."""
         gevent_os.make_nonblocking(self._fd)
         eliot.add_destinations(self.enqueue)
         gevent.spawn(self._run)
 
     def write(self, kind: str, /, **fields: Any) -> None:
-        """Writes one line; `fields` hold no secret."""
+        """Writes one line unless its kind exceeds the rate limit.
+
+        Args:
+            kind: Kind of the line.
+            fields: Fields of the line. They must not hold secrets.
+        """
         if not self._within_rate(kind):
             self._dropped += 1
             return
         eliot.log_message(message_type=kind, **fields)
 
     def enqueue(self, message: dict) -> None:
-        """Takes a message from eliot into the buffer."""
+        """Adds a message from eliot to the buffer; drops it if that is full."""
         if len(self._lines) >= _MAX_BUFFERED_LINES:
             self._dropped += 1
             return
@@ -77,7 +83,7 @@
         self._lines.append(text.encode() + b"\n")
 
     def flush(self) -> None:
-        """Writes what standard output takes without waiting."""
+        """Writes as much as standard output accepts without blocking."""
         while self._lines:
             line = self._lines[0]
             try:
@@ -85,7 +91,7 @@
             except BlockingIOError:
                 return
             except OSError:
-                # Nobody will ever read: keep counting, keep serving.
+                # The reader is gone for good: drop the lines and go on serving.
                 self._dropped += len(self._lines)
                 self._lines.clear()
                 return
@@ -105,7 +111,8 @@
         try:
             socket.wait_write(self._fd, timeout=_WRITABLE_TIMEOUT_S)
         except OSError:
-            # Timed out, or a file that can't be polled: look again later.
+            # The wait timed out, or the file doesn't support polling: try again
+            # after the next interval.
             return
 
     def _within_rate(self, kind: str) -> bool:
--- a/caroblug/gateway/_lease_holder_tracker.py
+++ b/caroblug/gateway/_lease_holder_tracker.py
@@ -1,25 +1,33 @@
-"""When a holder of the lease on placing layers was last heard of."""
+"""Tracking of when the holder of the placement lease was last seen.
+
+A gateway sees the lease holder in a direct exchange or learns from a peer's
+report how long ago the holder was seen.
+"""
 
 import attrs
 
 HOLDER_TIMEOUT_MS = 2500
-"""Time without word of a holder of the lease after which a deputy places
-layers; word of one passes through fifty gateways in two or three exchanges."""
+"""Time without a sign of a lease holder after which the standby gateway places
+layers. A report of the holder reaches fifty gateways in two or three rounds of
+the peer exchange."""
 
 UNKNOWN_AGE_MS = 1_000_000
-"""Age that is told where no holder was ever heard of."""
+"""Age reported for something that was never seen."""
 
 _REPORT_DELAY_MS = 300
-"""Word of a holder that others still pass on after it has left: what they tell
-counts from when they heard it, and an exchange takes up to this."""
+"""Tolerance for reports of a holder that has left. A sighting is dated by the
+arrival of the message, and an exchange takes up to this long, so peers may
+report sightings that seem to be later than the holder's departure."""
 
 
 @attrs.define
 class LeaseHolderTracker:
-    """What a gateway has heard of holders, its own lease aside.
+    """Records when a gateway last saw another gateway hold the lease.
+
+    The gateway's own lease is not considered.
 
     Attributes:
-        started_ms: When the gateway began to listen.
+        started_ms: When the gateway began to receive reports.
     """
 
     started_ms: int
@@ -27,11 +35,14 @@
     _left_ms: int | None = attrs.field(default=None, init=False)
 
     def on_holder_seen(self, seen_ms: int) -> None:
-        """Notes that somebody heard of a holder at a moment.
+        """Records that this gateway or a peer saw a lease holder.
+
+        Guards against late reports of a holder that has left. Gateways that
+        don't know yet that it has left would keep forwarding them, and for
+        seconds no gateway would place layers while engines leave and crash.
 
-        Guards against word of a holder that has left since: gateways that
-        don't know it yet would pass it on, and for seconds nobody would place
-        layers while engines leave and crash.
+        Args:
+            seen_ms: When the holder was seen.
         """
         left_ms = self._left_ms
         if left_ms is not None and seen_ms <= left_ms + _REPORT_DELAY_MS:
@@ -40,22 +51,23 @@
         self._seen_ms = max(seen_ms, self._seen_ms or seen_ms)
 
     def on_holder_left(self, now_ms: int) -> None:
-        """Notes that the holder gives no more orders."""
+        """Records that the holder has stopped giving orders."""
         self._left_ms = now_ms
         self._seen_ms = None
 
     def age_ms(self, now_ms: int) -> int:
-        """Returns how long ago a holder was heard of, to be told to others.
+        """Returns the time since a holder was seen, for reports to peers.
 
-        A gateway that has just started has heard of none. Telling its own age
-        instead would keep every other one waiting for a holder again.
+        A gateway that has just started has seen no holder. If it reported its
+        own uptime instead, all other gateways would restart their holder
+        timeout.
         """
         if self._seen_ms is None:
             return UNKNOWN_AGE_MS
         return now_ms - self._seen_ms
 
     def is_missing(self, now_ms: int) -> bool:
-        """Returns whether a deputy has to place layers."""
+        """Returns whether the standby gateway has to place layers."""
         if self._left_ms is not None:
             return True
         since_ms = max(self.started_ms, self._seen_ms or self.started_ms)
--- a/caroblug/gateway/_peer_calls.py
+++ b/caroblug/gateway/_peer_calls.py
@@ -1,4 +1,4 @@
-"""Calls between gateways: a message there, a message back."""
+"""Request-response calls between gateways, with JSON messages over HTTP."""
 
 import json
 from collections.abc import Callable
@@ -14,14 +14,14 @@
 
 _CALL_TIMEOUT_S = 0.3
 DECODE_ERRORS = (KeyError, TypeError, ValueError, AttributeError)
-"""What a message of another form raises where it is taken apart."""
+"""Exceptions raised while decoding a message with an unexpected structure."""
 
 
 class PeerCalls:
-    """Asks other gateways, and answers them.
+    """Sends calls to other gateways and handles their calls.
 
     Args:
-        context: What the gateway's parts share.
+        context: Shared state of the gateway's components.
     """
 
     def __init__(self, context: Context) -> None:
@@ -29,11 +29,11 @@
         self._handlers: dict[str, Handler] = {}
 
     def register(self, path: str, handler: Handler) -> None:
-        """Lets a handler answer the messages that are sent to a path."""
+        """Registers the handler of messages that are sent to a path."""
         self._handlers[path] = handler
 
     def handle_request(self, request: RawRequest, reply: Reply) -> None:
-        """Answers another gateway."""
+        """Handles a call of another gateway."""
         handler = self._handlers.get(request.path)
         if handler is None:
             reply.send(404, [], b"no such path")
@@ -49,7 +49,11 @@
     def call(
         self, address: Address, path: str, message: dict
     ) -> dict | Unavailable:
-        """Sends a message to another gateway and returns its answer."""
+        """Sends a message to another gateway and returns its answer.
+
+        Returns:
+            The decoded answer, or `Unavailable` if the call failed.
+        """
         headers = [
             ("Host", f"{address[0]}:{address[1]}"),
             ("Connection", "close"),
@@ -69,7 +73,7 @@
             return Unavailable(f"answer does not parse: {error!r}")
 
     def log_unreadable(self, path: str, error: Exception) -> None:
-        """Writes a line for a message that can't be taken apart."""
+        """Logs a message that can't be decoded."""
         self._context.log.write(
             "peer.unreadable", path=path, reason=repr(error)
         )
--- a/caroblug/gateway/_telemetry.py
+++ b/caroblug/gateway/_telemetry.py
@@ -1,8 +1,9 @@
 """Counters, gauges and latency histograms of a gateway.
 
-They are kept as plain numbers and HDR histograms, and turned into Prometheus
-text by prometheus_client when somebody asks. The library is imported at that
-moment: it would add a third to the time from a start to the first request.
+They are stored as plain numbers and HDR histograms. prometheus_client converts
+them to Prometheus text when the metrics are scraped. The library is imported
+only then, because it would add a third to the time from program start to the
+first request.
 """
 
 import collections
@@ -19,7 +20,7 @@
 
 
 class Telemetry:
-    """Numbers by name and labels."""
+    """Stores metrics by name and labels."""
 
     def __init__(self) -> None:
         self._counters: collections.Counter[tuple[str, Labels]] = (
@@ -29,7 +30,7 @@
         self._histograms: dict[tuple[str, Labels], HdrHistogram] = {}
 
     def count(self, name: str, amount: int = 1, **labels: str) -> None:
-        """Adds to the counter `caroblug_<name>_total`."""
+        """Increments the counter `caroblug_<name>_total`."""
         self._counters[(name, tuple(labels.items()))] += amount
 
     def gauge(self, name: str, value: float, **labels: str) -> None:
@@ -53,7 +54,7 @@
         return self._counters[(name, tuple(labels.items()))]
 
     def collect(self):
-        """Yields metric families, as prometheus_client wants them."""
+        """Yields the metric families that prometheus_client collects."""
         from prometheus_client import core
 
         families = {}
@@ -81,7 +82,7 @@
         yield from families.values()
 
     def expose(self) -> bytes:
-        """Returns everything as Prometheus text."""
+        """Returns all metrics in the Prometheus text format."""
         import prometheus_client
 
         registry = prometheus_client.CollectorRegistry()
@@ -89,5 +90,5 @@
         return prometheus_client.generate_latest(registry)
 
     def describe(self) -> list:
-        """Tells the registry nothing: names come and go with their use."""
+        """Returns no families, as names are known only once they are used."""
         return []
--- a/caroblug/gateway/tests/test_decision_log.py
+++ b/caroblug/gateway/tests/test_decision_log.py
@@ -1,4 +1,4 @@
-"""Log lines: bounded, never waited for, failures before successes."""
+"""Tests of the decision log: bounded, non-blocking, failures first."""
 
 import json
 import os
@@ -35,8 +35,8 @@
     ]
 
 
-def test_reader_that_stands_still_is_not_waited_for():
-    # Guards against a gateway that blocks on a log which nobody reads.
+def test_log_does_not_block_on_a_stalled_reader():
+    # Guards against a gateway that blocks while its log is not read.
     log, reader, _, _ = make_log()
     for number in range(10_000):
         log.enqueue({"message_type": "x", "number": number, "pad": "p" * 100})
@@ -53,7 +53,7 @@
     assert last["left_out"] == dropped
 
 
-def test_successes_are_bounded_each_second_and_failures_are_not():
+def test_successes_are_rate_limited_and_failures_are_not():
     log, _, _, clock = make_log()
     for _ in range(300):
         log.write("request", status=200)
@@ -66,10 +66,11 @@
     assert log.dropped == 200
 
 
-def test_closed_output_is_no_reason_to_stop():
+def test_closed_output_does_not_stop_the_gateway():
     log, reader, writer, _ = make_log()
-    # A file object closes at once; os.close may be gevent's, which waits for
-    # the event loop where stand-ins of other tests have patched it.
+    # A file object closes at once. os.close may be gevent's replacement, if the
+    # stand-ins of other tests have patched it, and that waits for the event
+    # loop.
     open(reader, "rb", buffering=0).close()
     log.enqueue({"message_type": "x"})
     log.flush()
--- a/caroblug/gateway/tests/test_peer_calls.py
+++ b/caroblug/gateway/tests/test_peer_calls.py
@@ -1,4 +1,4 @@
-"""Messages from other gateways that can't be answered."""
+"""Tests of calls between gateways, invalid messages included."""
 
 import pytest
 
@@ -8,7 +8,7 @@
 
 
 class FakeReply:
-    """Keeps the answer that it is given."""
+    """Records the answer that a handler sends."""
 
     def __init__(self) -> None:
         self.status = 0
@@ -19,7 +19,7 @@
         self.body = body
 
 
-def answer(path: str, body: bytes) -> FakeReply:
+def handle(path: str, body: bytes) -> FakeReply:
     calls = PeerCalls(make_context())
     calls.register("/double", lambda message: {"twice": message["number"] * 2})
     reply = FakeReply()
@@ -27,17 +27,18 @@
     return reply
 
 
-def test_message_is_answered_by_the_handler_of_its_path():
-    reply = answer("/double", b'{"number":21}')
+def test_message_is_passed_to_the_handler_of_its_path():
+    reply = handle("/double", b'{"number":21}')
 
     assert (reply.status, reply.body) == (200, b'{"twice":42}')
 
 
 def test_unknown_path_is_not_found():
-    assert answer("/nothing", b"{}").status == 404
+    assert handle("/nothing", b"{}").status == 404
 
 
 @pytest.mark.parametrize("body", [b"", b"[]", b"{}", b"7", b'"text"'])
-def test_message_of_another_form_is_refused(body):
-    # Guards against a gateway that ends for what another version sends.
-    assert answer("/double", body).status == 400
+def test_message_with_an_unexpected_structure_is_a_bad_request(body):
+    # Guards against a gateway that terminates because of a message sent by
+    # another version.
+    assert handle("/double", body).status == 400
--- a/caroblug/gateway/tests/test_spacing.py
+++ b/caroblug/gateway/tests/test_spacing.py
@@ -1,9 +1,9 @@
-"""A distance between questions, for each name."""
+"""Tests of the minimum interval between probes of one backend server."""
 
 from caroblug.gateway._spacing import Spacing
 
 
-def test_names_wait_for_themselves_only():
+def test_interval_applies_to_each_name_separately():
     spacing = Spacing(400)
 
     assert spacing.allows("x", 0)
@@ -12,8 +12,9 @@
     assert spacing.allows("x", 400)
 
 
-def test_names_of_the_past_are_forgotten():
-    # Guards against memory that grows with every start of an engine.
+def test_names_are_removed_once_their_interval_has_passed():
+    # Guards against memory growth with each engine start, as every start has a
+    # new name.
     spacing = Spacing(400)
     for number in range(1000):
         spacing.allows(f"engine-{number}", number * 1000)
