--- a/caroblug/gateway/__init__.py
+++ b/caroblug/gateway/__init__.py
@@ -1,4 +1,4 @@
-"""The gateway: an entry before engines that pass tokens on themselves."""
+"""The gateway, an entry for engines that forward tokens to each other."""
 
 from caroblug.gateway._caller_requests import RawRequest
 from caroblug.gateway._gateway import Gateway, make_gateway
--- a/caroblug/gateway/_gateway.py
+++ b/caroblug/gateway/_gateway.py
@@ -1,4 +1,4 @@
-"""The gateway program: callers in front, engines behind, nothing kept."""
+"""The gateway program, a stateless entry between callers and engines."""
 
 import random
 import signal
@@ -44,34 +44,36 @@
     DenialReason.NO_SERVICE: 503,
 }
 _BALANCER_NOTICE_MS = 2600
-"""Time from SIGTERM after which nobody sends new connections: the balancer
-asks once a second and believes the second refusal."""
+"""Time from SIGTERM after which no new connections arrive. The load balancer
+checks readiness once a second and acts on the second failed check."""
 
 _LATE_REQUEST_MS = 2900
-"""Time from SIGTERM after which requests are taken only if they must end
-before the exit. Earlier ones can't know of it yet; a long stream that begins
-later would be cut."""
+"""Time from SIGTERM after which a request is accepted only if its deadline is
+before the exit. Callers of earlier requests can't know of the shutdown yet. A
+long stream that began later would be cut."""
 
 _EXIT_RESERVE_MS = 250
-"""Time kept between the end of the drain and the platform's SIGKILL."""
+"""Time reserved between the end of the drain and the platform's SIGKILL."""
 
 _SETTINGS_POLL_S = 5.0
-"""How often the settings are read without a signal; it takes a millisecond."""
+"""Interval at which the settings are read without a signal. A read takes a
+millisecond."""
 
 _DRAIN_POLL_S = 0.05
 
 _MAX_START_WAIT_MS = 250
-"""Longest time that callers wait for the first configuration and list."""
+"""Maximum time that callers wait at start for the first configuration and list
+of backend servers."""
 
 _START_POLL_S = 0.005
 
 
 class Gateway:
-    """One instance of the program.
+    """One instance of the gateway program.
 
     Args:
-        context: What its parts share.
-        registry: The platform's list, configuration and group.
+        context: Shared state of the gateway's components.
+        registry: Access to the platform's list, configuration and group.
         reload: Reads the settings again.
     """
 
@@ -114,7 +116,7 @@
 
     @property
     def ready(self) -> bool:
-        """Whether new connections should come here."""
+        """Whether the load balancer should send new connections here."""
         return (
             self._context.configuration is not None
             and self._context.fleet.known
@@ -122,14 +124,15 @@
         )
 
     def run(self) -> None:
-        """Serves until SIGTERM and the end of the drain."""
+        """Serves requests until the drain that follows SIGTERM has ended."""
         context = self._context
         context.log.start()
         context.log.write("program.started", settings=str(context.settings))
         gevent.signal_handler(signal.SIGTERM, self._on_terminate)
         gevent.signal_handler(signal.SIGINT, self._on_terminate)
         gevent.signal_handler(signal.SIGHUP, self._reload_settings)
-        # Whoever hears that the gateway is ready connects at once.
+        # The load balancer may connect as soon as the readiness check succeeds,
+        # so the callers' socket has to listen before.
         self._callers.listen()
         self._ready.start()
         self._peer_calls.start()
@@ -153,26 +156,27 @@
         self._drain()
 
     def _wait_until_ready(self) -> None:
-        """Lets callers that came during the start wait until all is known.
+        """Waits until the gateway is ready, for a limited time.
 
-        Guards against refusing them for a configuration that is read some ms
-        later; while the store is away they are refused soon.
+        Guards against refusing callers that connected during the start because
+        the configuration arrives some milliseconds later. The limit keeps the
+        refusal early while the store is unavailable.
         """
         end_ms = self._context.clock.now_ms() + _MAX_START_WAIT_MS
         while not self.ready and self._context.clock.now_ms() < end_ms:
             gevent.sleep(_START_POLL_S)
 
     def _poll_settings(self) -> None:
-        """Reads the settings now and then: they may change without a word."""
+        """Reloads the settings periodically, in case no signal is sent."""
         while True:
             gevent.sleep(_SETTINGS_POLL_S)
             self._reload_settings()
 
     def _reload_settings(self) -> None:
-        """Takes changed settings; keeps the old ones if they can't be used.
+        """Applies changed settings, or keeps the old ones if they are invalid.
 
-        Requests that run are not touched. Addresses that this process
-        listens on hold until its next start.
+        Running requests are not affected. Changed listening addresses take
+        effect at the next start of the process.
         """
         context = self._context
         settings = self._reload()
@@ -201,10 +205,10 @@
             self._terminating.set()
 
     def _drain(self) -> None:
-        """Ends what runs, takes what still comes, then returns.
+        """Waits for running requests and still accepts new ones, then returns.
 
-        New connections come until the balancer has noticed that the gateway
-        isn't ready; refusing them would fail requests without need.
+        New connections arrive until the load balancer has noticed that the
+        gateway isn't ready. Refusing them would fail requests unnecessarily.
         """
         context = self._context
         context.log.write("program.leaving", busy=self._callers.busy)
@@ -222,7 +226,7 @@
         context.log.write("program.stopped", cut_short=self._callers.busy)
         context.log.flush()
 
-    # Requests.
+    # Request handling.
 
     def _handle_request(self, request: RawRequest, reply: Reply) -> None:
         context = self._context
@@ -261,7 +265,7 @@
             self._calls.serve(pending)
 
     def _would_outlive_exit(self, pending: Pending) -> bool:
-        """Returns whether the exit would cut a request that begins now."""
+        """Returns whether the exit could cut a request that began late."""
         if not self._terminating.is_set():
             return False
         late_ms = self._terminated_ms + _LATE_REQUEST_MS
@@ -317,12 +321,12 @@
     registry: Registry,
     reload: Callable[[], GatewaySettings | SettingsProblem],
 ) -> Gateway:
-    """Returns a gateway that isn't running yet.
+    """Returns a new gateway, which is not running yet.
 
     Args:
-        settings: Checked settings.
-        dialect: How requests look on the wire.
-        registry: The platform's list, configuration and group.
+        settings: Validated settings.
+        dialect: Wire format of requests, answers, reports and orders.
+        registry: Access to the platform's list, configuration and group.
         reload: Reads the settings again.
     """
     clock = BoottimeClock()
--- a/caroblug/gateway/_interfaces.py
+++ b/caroblug/gateway/_interfaces.py
@@ -1,4 +1,4 @@
-"""What the gateway needs of a platform; an adapter implements it."""
+"""Interfaces that a platform adapter implements for the gateway."""
 
 import abc
 import enum
@@ -15,18 +15,18 @@
 
 @attrs.frozen
 class BackendServer:
-    """A backend server as the platform lists it.
+    """A backend server in the platform's list.
 
     Attributes:
-        name: Identity, new with most starts.
-        service: Service that it belongs to.
+        name: Identity, which changes with most starts.
+        service: Name of the service that it belongs to.
         address: Host and port.
-        data_centre: Where it runs.
-        leaving: Whether it takes no new work.
-        slots: Requests that it runs at once.
+        data_centre: Data centre that it runs in.
+        leaving: Whether it is draining and accepts no new work.
+        slots: Number of requests that it runs concurrently.
         kind: Kind of accelerator; empty for a plain service.
         holds: Layers that it holds; None for a plain service.
-        started_ms: When it started, if it says so.
+        started_ms: When it started; 0 if not reported.
     """
 
     name: str
@@ -42,15 +42,15 @@
 
 @attrs.frozen
 class Listing:
-    """Every backend server, as read at one moment.
+    """A snapshot of the list of backend servers.
 
     Attributes:
         backends: Backend servers by name.
-        end: Grows with each change of the list.
-        ignored: Entries that could not be used.
-        raw: The list as the platform wrote it, to hand on to other gateways.
-        digest: The same for lists with the same backend servers; heartbeats
-            change `raw` and `end` all the time, but not this.
+        end: Position in the store's log; it grows with each change of the list.
+        ignored: Number of entries that could not be decoded.
+        raw: The list as the platform wrote it, for sending to other gateways.
+        digest: Digest of the backend servers. Heartbeats change `raw` and `end`
+            all the time, but not the digest.
     """
 
     backends: dict[str, BackendServer]
@@ -63,7 +63,7 @@
 def make_listing(
     backends: dict[str, BackendServer], end: int, ignored: int, raw: str
 ) -> Listing:
-    """Returns a list with its digest."""
+    """Returns a listing with the digest of its backend servers."""
     text = "".join(repr(backends[name]) for name in sorted(backends))
     digest = hashlib.blake2b(text.encode(), digest_size=8).hexdigest()
     return Listing(backends, end, ignored, raw, digest)
@@ -71,12 +71,12 @@
 
 @attrs.frozen
 class ConfigurationRead:
-    """The newest configuration.
+    """A configuration that was read from the store.
 
     Attributes:
         configuration: The configuration.
-        end: Where to wait for the next change.
-        raw: The same as the operator wrote it, to hand on to other gateways.
+        end: Position in the store's log after which the next change is awaited.
+        raw: Its text as the operator wrote it, for sending to other gateways.
     """
 
     configuration: Configuration
@@ -86,10 +86,10 @@
 
 @attrs.frozen
 class NoChange:
-    """No change came in the time given.
+    """The result of a wait in which the configuration did not change.
 
     Attributes:
-        end: Where to wait on.
+        end: Position in the store's log at which to continue waiting.
     """
 
     end: int
@@ -97,10 +97,10 @@
 
 @attrs.frozen
 class Unavailable:
-    """The platform gave no usable answer.
+    """The result of a call that got no usable answer.
 
     Attributes:
-        message: What was seen.
+        message: Description of the failure.
     """
 
     message: str
@@ -108,12 +108,15 @@
 
 @attrs.frozen
 class PlacementLease:
-    """Whether this entry is the one that places layers.
+    """The state of the placement lease, as the store granted it.
+
+    The lease is the exclusive right of one gateway to order engines to load
+    layers.
 
     Attributes:
-        holder: Whether it is.
-        gateways: Gateways that take part, this one included, as far as this
-            one's part of the work tells; 0 if it doesn't.
+        holder: Whether this gateway holds the lease.
+        gateways: Number of gateways in the group, this one included, estimated
+            from this gateway's share of the partitions; 0 if unknown.
     """
 
     holder: bool
@@ -122,11 +125,11 @@
 
 @attrs.frozen
 class Member:
-    """A gateway that takes part.
+    """A member of the group of gateways.
 
     Attributes:
-        name: Its name.
-        address: Where other gateways reach it.
+        name: Name of the gateway.
+        address: Address that other gateways connect to.
     """
 
     name: str
@@ -134,7 +137,10 @@
 
 
 class Registry(abc.ABC):
-    """The platform's list of backend servers, configuration and groups."""
+    """Access to the platform's backend server list, configuration and group.
+
+    Methods return `Unavailable` if the platform gives no usable answer.
+    """
 
     @abc.abstractmethod
     def read_configuration(self) -> ConfigurationRead | Unavailable:
@@ -144,7 +150,7 @@
     def wait_for_change(
         self, end: int, wait_ms: int
     ) -> ConfigurationRead | NoChange | Unavailable:
-        """Waits until the configuration changes past `end`."""
+        """Waits for a configuration newer than `end`, for at most `wait_ms`."""
 
     @abc.abstractmethod
     def read_backends(self) -> Listing | Unavailable:
@@ -154,39 +160,45 @@
     def renew_placement_lease(
         self, lease_ms: int
     ) -> PlacementLease | Unavailable:
-        """Takes part in, or renews, the choice of who places layers."""
+        """Joins the group or renews the membership and the lease that it has.
+
+        The store grants the lease to one member of the group.
+
+        Args:
+            lease_ms: How long the membership lasts without a renewal.
+        """
 
     @abc.abstractmethod
     def read_members(self) -> tuple[Member, ...] | Unavailable:
-        """Reads which gateways take part; of very many, some of them."""
+        """Reads the members of the group, or some of them if there are many."""
 
     @abc.abstractmethod
     def decode_configuration(self, raw: str) -> Configuration | Unavailable:
-        """Reads a configuration that another gateway has handed on."""
+        """Decodes a configuration that another gateway has sent."""
 
     @abc.abstractmethod
     def decode_listing(self, raw: str, end: int) -> Listing | Unavailable:
-        """Reads a list that another gateway has handed on."""
+        """Decodes a list of backend servers that another gateway has sent."""
 
     @abc.abstractmethod
     def release_placement_lease(self) -> None:
-        """Gives up at once what `renew_placement_lease` gave."""
+        """Leaves the group and gives up the lease immediately."""
 
 
 @attrs.frozen
 class CallerRequest:
-    """What a caller's request says, in the gateway's own terms.
+    """The decoded metadata of a caller's request.
 
     Attributes:
-        id: Identity of this attempt of the caller's.
-        deadline_ms: How long the caller waits; None if it does not say.
-        key: API key, if one was sent.
+        id: Identity of this attempt of the caller.
+        deadline_ms: Time that the caller waits; None if not specified.
+        key: API key; None if none was sent.
         host: Host in lower case, without a port.
-        resume_after: Id of the last event that the caller has, if any.
-        prompt_tokens: Length of the prompt; 0 if it is not a generation.
-        answer_tokens: Most tokens of the answer.
-        headers: Headers to pass on.
-        bad: What makes the request unusable, if anything.
+        resume_after: Id of the last event that the caller received, if any.
+        prompt_tokens: Length of the prompt; 0 if it is no generation request.
+        answer_tokens: Maximum number of tokens in the answer.
+        headers: Headers to forward.
+        bad: Why the request is invalid; None if it is valid.
     """
 
     id: str
@@ -202,15 +214,15 @@
 
 @attrs.frozen
 class ForwardMetadata:
-    """What the gateway adds to a request when it sends it on.
+    """The metadata that the gateway adds to a forwarded request.
 
     Attributes:
-        backend: Name of the backend server that is meant.
-        left_ms: How long the caller still waits.
+        backend: Name of the intended backend server.
+        left_ms: Time until the caller's deadline.
         account: Name of the client account; None on a public route.
-        priority: Rank, 0 first.
-        path: Engines and layers, for a model spread over engines.
-        resume_after: Id of the last event that the caller has.
+        priority: Priority of the request; 0 is the highest.
+        path: Engines and their layers, for a model split over engines.
+        resume_after: Id of the last event that the caller received.
     """
 
     backend: str
@@ -222,7 +234,7 @@
 
 
 class RunState(enum.Enum):
-    """What an answer says of the request's run."""
+    """Whether a backend server has run a request, according to its answer."""
 
     RUN = "run"
     NOT_RUN = "not_run"
@@ -231,16 +243,16 @@
 
 @attrs.frozen
 class AnswerMetadata:
-    """What the head of a backend server's answer says.
+    """The decoded metadata of a backend server's answer.
 
     Attributes:
-        request_id: Request that it belongs to.
+        request_id: Id of the request that it answers.
         genuine: Whether it carries the backend server's proof of origin.
-        run: Whether the request has run.
-        at_fault: Address of the engine that made it fail, if it is named.
-        running: Requests that run there; None if it does not say.
-        waiting: Requests that wait there.
-        headers: Headers to pass back.
+        run: Whether the backend server has run the request.
+        at_fault: Address of the engine that caused a failure, if named.
+        running: Number of requests running there; None if not reported.
+        waiting: Number of requests waiting there.
+        headers: Headers to return to the caller.
     """
 
     request_id: str | None
@@ -254,17 +266,18 @@
 
 @attrs.frozen
 class EngineReport:
-    """What an engine says of itself.
+    """The state that an engine reports about itself.
 
     Attributes:
         holds: Layers that it holds.
-        busy: Whether an order is being carried out.
-        orders: Number of orders begun since its start.
-        stalled: Requests that wait for another engine, and its address.
-        pace: Over 1 if it is slower than its kind.
+        busy: Whether it is executing an order.
+        orders: Number of orders that it has begun since its start.
+        stalled: Ids of requests that wait for another engine, each with that
+            engine's address.
+        pace: Slowdown relative to its kind of accelerator; above 1 if slower.
         kind: Kind of accelerator.
-        started_ms: When it started; 0 if it does not say.
-        waiting: Requests that wait for a place.
+        started_ms: When it started; 0 if not reported.
+        waiting: Number of requests that wait for a free slot.
     """
 
     holds: LayerRange | None
@@ -278,7 +291,7 @@
 
 
 class OrderOutcome(enum.Enum):
-    """What came of an order."""
+    """The outcome of an order to an engine."""
 
     BEGUN = "begun"
     HOLDS = "holds"
@@ -288,11 +301,11 @@
 
 
 class Dialect(abc.ABC):
-    """How requests, answers, reports and orders look on the wire."""
+    """The platform's wire format of requests, answers, reports and orders."""
 
     @abc.abstractmethod
     def decode_request(self, request: RawRequest) -> CallerRequest:
-        """Reads a caller's request."""
+        """Decodes a caller's request."""
 
     @abc.abstractmethod
     def encode_request(
@@ -301,34 +314,44 @@
         caller: CallerRequest,
         metadata: ForwardMetadata,
     ) -> bytes:
-        """Returns the bytes to send to a backend server."""
+        """Returns a caller's request encoded for a backend server.
+
+        Args:
+            request: The request as received.
+            caller: Its decoded metadata.
+            metadata: The metadata to add.
+        """
 
     @abc.abstractmethod
     def decode_answer(self, head: Head) -> AnswerMetadata:
-        """Reads the head of a backend server's answer."""
+        """Decodes the head of a backend server's answer."""
 
     @abc.abstractmethod
     def own_headers(
         self, caller: CallerRequest, retry_after_ms: int | None
     ) -> list[tuple[str, str]]:
-        """Returns the headers of an answer that the gateway gives itself.
+        """Returns the headers of an answer that the gateway itself generates.
 
         Args:
             caller: The request.
-            retry_after_ms: When the caller should come back, if it should.
+            retry_after_ms: Delay after which the caller should retry; None if
+                it should not.
         """
 
     @abc.abstractmethod
     def read_report(self, address: Address) -> EngineReport | Unavailable:
-        """Asks an engine about itself."""
+        """Reads the report of an engine."""
 
     @abc.abstractmethod
     def read_health(self, address: Address, path: str) -> bool | Unavailable:
-        """Asks a backend server whether it takes new work.
+        """Performs a health check of a backend server.
 
         Args:
             address: The backend server.
-            path: Where its service answers this.
+            path: Path of its service's health check.
+
+        Returns:
+            Whether the backend server accepts new work.
         """
 
     @abc.abstractmethod
@@ -338,16 +361,17 @@
         """Orders an engine to hold layers.
 
         Args:
-            address: The engine.
-            layers: Layers to hold, all of them.
-            orders: Orders that it has begun so far; it rejects this one if
-                there was another, so that a late one can do no harm.
-            urgent: Whether work that passes through layers which are given
-                up is cut, not waited for.
+            address: Address of the engine.
+            layers: All layers that it is to hold.
+            orders: Number of orders that the engine has begun so far. It
+                rejects the order if the number differs, so that a delayed
+                order has no effect.
+            urgent: Whether running requests that use released layers are
+                aborted instead of awaited.
         """
 
     @abc.abstractmethod
     def change_path(
         self, address: Address, request_id: str, path: Path
     ) -> OrderOutcome:
-        """Orders an engine to go on with a request over another path."""
+        """Orders an engine to continue a request over another path."""
--- a/caroblug/gateway/_settings.py
+++ b/caroblug/gateway/_settings.py
@@ -1,4 +1,4 @@
-"""Settings of a gateway, checked in one place."""
+"""Settings of a gateway and their validation."""
 
 import attrs
 
@@ -13,18 +13,19 @@
     """Settings of one gateway.
 
     Attributes:
-        instance: Its name.
-        data_centre: Where it runs.
-        callers: Address for callers.
-        ready: Address where it tells whether it is ready.
-        metrics: Address of its metrics.
-        peers: Address for other gateways.
+        instance: Name of the gateway.
+        data_centre: Data centre that the gateway runs in.
+        callers: Address that callers connect to.
+        ready: Address of the readiness check.
+        metrics: Address of the metrics endpoint.
+        peers: Address that other gateways connect to.
         store: Address of the platform's store.
-        heartbeat_ms: How often backend servers renew their place in the list.
+        heartbeat_ms: Interval at which backend servers renew their entry in the
+            list.
         drain_ms: Time from SIGTERM to SIGKILL.
-        retry_ratio: Share of a service's requests that may be sent again.
-        retry_extra: Requests beyond that, of all gateways together.
-        retry_window_ms: Time over which both are counted.
+        retry_ratio: Share of a service's requests that may be retried.
+        retry_extra: Further retries, for all gateways together.
+        retry_window_ms: Time window in which requests and retries are counted.
         lease_least_ms: Shortest lease that the store grants.
         store_partitions: Partitions of each topic of the store.
     """
@@ -47,12 +48,12 @@
 
 @attrs.frozen
 class SettingsProblem:
-    """Settings that can't be used.
+    """Describes why settings are invalid.
 
     Attributes:
-        file: The settings file.
-        key: The key at fault; empty if it is the whole file.
-        message: What is wrong.
+        file: Name of the settings file.
+        key: The invalid key; empty if the whole file is invalid.
+        message: What is wrong with the value.
     """
 
     file: str
@@ -78,7 +79,12 @@
 def check_gateway_settings(
     settings: GatewaySettings, file: str
 ) -> GatewaySettings | SettingsProblem:
-    """Returns the settings, or the first value out of its range."""
+    """Returns the settings if they are valid, or else the first problem.
+
+    Args:
+        settings: The settings to check.
+        file: Name of the settings file, for the problem's text.
+    """
     for name in ("instance", "data_centre"):
         value = getattr(settings, name)
         if not isinstance(value, str) or not value:
