--- a/caroblug/gateway/__init__.py
+++ b/caroblug/gateway/__init__.py
@@ -1,6 +1,11 @@
 """The gateway, an entry for engines that forward tokens to each other."""
 
 from caroblug.gateway._caller_requests import RawRequest
+from caroblug.gateway._exchange_results import (
+    ExchangeFailure,
+    HttpResponse,
+    ResponseHead,
+)
 from caroblug.gateway._gateway import Gateway, make_gateway
 from caroblug.gateway._http_client import Address, fetch, format_request
 from caroblug.gateway._initial_settings import read_initial_settings
@@ -22,7 +27,6 @@
     Unavailable,
     make_listing,
 )
-from caroblug.gateway._outcomes import Answer, Broken, Head
 from caroblug.gateway._settings import (
     GatewaySettings,
     SettingsProblem,
@@ -31,18 +35,17 @@
 
 __all__ = [
     "Address",
-    "Answer",
     "AnswerMetadata",
     "BackendServer",
-    "Broken",
     "CallerRequest",
     "ConfigurationRead",
     "Dialect",
     "EngineReport",
+    "ExchangeFailure",
     "ForwardMetadata",
     "Gateway",
     "GatewaySettings",
-    "Head",
+    "HttpResponse",
     "Listing",
     "Member",
     "NoChange",
@@ -50,6 +53,7 @@
     "PlacementLease",
     "RawRequest",
     "Registry",
+    "ResponseHead",
     "RunState",
     "SettingsProblem",
     "Unavailable",
--- a/caroblug/gateway/_interfaces.py
+++ b/caroblug/gateway/_interfaces.py
@@ -9,8 +9,8 @@
 from caroblug.core.access import Configuration
 from caroblug.core.placement import LayerRange, Path
 from caroblug.gateway._caller_requests import RawRequest
+from caroblug.gateway._exchange_results import ResponseHead
 from caroblug.gateway._http_client import Address
-from caroblug.gateway._outcomes import Head
 
 
 @attrs.frozen
@@ -323,7 +323,7 @@
         """
 
     @abc.abstractmethod
-    def decode_answer(self, head: Head) -> AnswerMetadata:
+    def decode_answer(self, head: ResponseHead) -> AnswerMetadata:
         """Decodes the head of a backend server's answer."""
 
     @abc.abstractmethod
--- a/caroblug/gateway/_peers.py
+++ b/caroblug/gateway/_peers.py
@@ -13,7 +13,7 @@
 from caroblug.core.placement import LayerRange
 from caroblug.gateway._compression import TextCompressor, decompress_text
 from caroblug.gateway._context import Context
-from caroblug.gateway._crashes import Crashes
+from caroblug.gateway._crash_suspicions import CrashSuspicions
 from caroblug.gateway._http_client import Address
 from caroblug.gateway._interfaces import Member, Registry, Unavailable
 from caroblug.gateway._lease_holder_tracker import (
@@ -81,7 +81,7 @@
     """
 
     def __init__(
-        self, context: Context, registry: Registry, crashes: Crashes
+        self, context: Context, registry: Registry, crashes: CrashSuspicions
     ) -> None:
         self._context = context
         self._crashes = crashes
@@ -240,12 +240,12 @@
         context = self._context
         now_ms = context.clock.now_ms()
         settings = context.settings
-        told = context.fleet.recently_told(now_ms)
+        told = context.fleet.recent_reports(now_ms)
         return {
             "name": settings.instance,
             "address": list(settings.peers),
             "data_centre": settings.data_centre,
-            "loads": context.fleet.loads.own(),
+            "loads": context.fleet.loads.own_tokens(),
             "version": self._version(),
             "version_age_ms": self._reader_ranking.version_age_ms,
             "rank": self._reader_ranking.rank,
@@ -253,15 +253,15 @@
             "list_age_ms": self._list_age_ms(),
             "list_digest": context.fleet.listing.digest,
             "list_end": context.fleet.listing.end,
-            "suspects": context.fleet.avoided_now(now_ms),
+            "suspects": context.fleet.ejected(now_ms),
             "told": {
                 engine: [layers.first, layers.end, age_ms]
                 for engine, (layers, age_ms) in told.items()
             },
-            "paces": context.fleet.recent_paces(now_ms),
+            "paces": context.fleet.recent_slowdowns(now_ms),
             "leaving": context.fleet.recently_leaving(now_ms),
-            "unanswered": context.fleet.uncertain(now_ms),
-            "crashes": self._crashes.tell(),
+            "unanswered": context.fleet.unanswered_orders(now_ms),
+            "crashes": self._crashes.export(),
             "tenure": self.lease_state.value,
             "holder_age_ms": self._holder_age_ms(now_ms),
         }
@@ -305,7 +305,7 @@
         known = context.configuration
         gateways = context.fleet.loads.gateways
         return {
-            name: int(context.retry_budget.left(name, gateways, now_ms))
+            name: int(context.retry_budget.remaining(name, gateways, now_ms))
             for name in (known.services if known is not None else ())
         }
 
@@ -335,7 +335,7 @@
             if not isinstance(listing, Unavailable):
                 age_ms = int(answer["list_age_ms"])
                 listed_ms = context.clock.now_ms() - age_ms
-                context.fleet.take_listing(listing, listed_ms)
+                context.fleet.update_listing(listing, listed_ms)
 
     # What was told.
 
@@ -368,7 +368,7 @@
             str(service): int(left)
             for service, left in message.get("repeats", {}).items()
         }
-        self._crashes.hear(message["crashes"])
+        self._crashes.merge(message["crashes"])
         now_ms = self._context.clock.now_ms()
         before = self._lease_states.get(name)
         self._lease_states[name] = LeaseState(message["tenure"])
@@ -421,7 +421,7 @@
         """
         now_ms = self._context.clock.now_ms()
         for name, (pace, age_ms) in paces.items():
-            self._context.fleet.on_pace(
+            self._context.fleet.on_slowdown(
                 str(name), float(pace), now_ms - int(age_ms)
             )
 
@@ -441,11 +441,11 @@
         tokens = {str(key): float(value) for key, value in loads.items()}
         self._received_ms[name] = self._context.clock.now_ms()
         loads = self._context.fleet.loads
-        loads.hear(name, tokens, near=name not in self._remote)
+        loads.update_peer(name, tokens, local=name not in self._remote)
         # Whose data centre isn't known yet is no neighbour: at the start
         # that is everybody, for a second.
         known = self._local & set(self._members)
-        loads.neighbours = len(known) + 1
+        loads.local_gateways = len(known) + 1
 
     def _apply_suspects(self, names: list) -> None:
         """Looks into what another gateway takes to be gone.
@@ -524,7 +524,7 @@
                 del self._received_ms[name]
                 self._lease_states.pop(name, None)
                 self._retries_left.pop(name, None)
-                self._context.fleet.loads.forget(name)
+                self._context.fleet.loads.remove_peer(name)
 
     def _knows_enough_members(self) -> bool:
         """Returns whether as many are known as are told each time."""
@@ -537,6 +537,6 @@
 
     def _list_age_ms(self) -> int:
         fleet = self._context.fleet
-        if not fleet.known:
+        if not fleet.has_listing:
             return 1_000_000
-        return fleet.age_ms(self._context.clock.now_ms())
+        return fleet.listing_age_ms(self._context.clock.now_ms())
--- a/caroblug/gateway/_slowness.py
+++ b/caroblug/gateway/_slowness.py
@@ -10,8 +10,8 @@
 
 from caroblug.gateway._context import Context
 from caroblug.gateway._interfaces import Unavailable
-from caroblug.gateway._running import EngineUse, RunningStreams
-from caroblug.gateway._spacing import Spacing
+from caroblug.gateway._running_streams import EngineUse, RunningStreams
+from caroblug.gateway._throttle import Throttle
 
 _LOOK_S = 0.25
 _SUSPICIOUS = 1.5
@@ -33,7 +33,7 @@
 the difference between two kinds of engines."""
 
 
-class Slowness:
+class SlownessDetector:
     """Looks for slow engines on the paths of running streams.
 
     Args:
@@ -45,7 +45,7 @@
         self._context = context
         self._running = running
         self._usual_ms = 0.0
-        self._asked = Spacing(_ASK_AGAIN_MS)
+        self._asked = Throttle(_ASK_AGAIN_MS)
 
     def run(self) -> None:
         """Looks after running streams until the process ends."""
@@ -56,7 +56,7 @@
     def look(self) -> None:
         """Looks once, and asks engines that seem slow."""
         now_ms = self._context.clock.now_ms()
-        for name in self._context.fleet.slow_until(now_ms):
+        for name in self._context.fleet.slow_engines_due(now_ms):
             backend = self._context.fleet.listing.backends.get(name)
             if backend is not None:
                 gevent.spawn(self._ask, name, backend.address)
@@ -92,7 +92,9 @@
             return
         now_ms = context.clock.now_ms()
         slow = report.pace >= SLOW_PACE
-        if context.fleet.on_pace(name, report.pace if slow else 1.0, now_ms):
+        if context.fleet.on_slowdown(
+            name, report.pace if slow else 1.0, now_ms
+        ):
             context.log.write(
                 "backend_server.pace",
                 backend_server=name,
--- a/caroblug/gateway/_store_watcher.py
+++ b/caroblug/gateway/_store_watcher.py
@@ -230,12 +230,17 @@
         while True:
             self._restart_long_wait()
             now_ms = self._context.clock.now_ms()
-            if fleet.known and fleet.age_ms(now_ms) < self._max_list_age_ms():
+            if (
+                fleet.has_listing
+                and fleet.listing_age_ms(now_ms) < self._max_list_age_ms()
+            ):
                 gevent.sleep(_LIST_POLL_S)
                 continue
             if not self._read_list():
                 pause_ms = (
-                    _LIST_RETRY_MS if fleet.known else _INITIAL_LIST_RETRY_MS
+                    _LIST_RETRY_MS
+                    if fleet.has_listing
+                    else _INITIAL_LIST_RETRY_MS
                 )
                 gevent.sleep(pause_ms / 1000)
 
@@ -266,7 +271,7 @@
         if listing.ignored != self._ignored:
             self._ignored = listing.ignored
             context.log.write("backends.ignored", records=listing.ignored)
-        context.fleet.take_listing(listing, started_ms)
+        context.fleet.update_listing(listing, started_ms)
         if was_lost:
             self._on_store_recovered()
         context.telemetry.gauge("backends", len(listing.backends))
--- a/caroblug/gateway/_stream_run.py
+++ b/caroblug/gateway/_stream_runner.py
@@ -2,19 +2,28 @@
 
 from caroblug.core.placement import Path
 from caroblug.gateway._connect_attempts import ConnectAttempts
-from caroblug.gateway._crashes import Crashes
+from caroblug.gateway._crash_suspicions import CrashSuspicions
 from caroblug.gateway._events import EventPace, Misordered
+from caroblug.gateway._exchange_results import (
+    EndOfBody,
+    ExchangeFailure,
+    FailureKind,
+    ReadTimeout,
+    ResponseHead,
+)
 from caroblug.gateway._interfaces import (
     AnswerMetadata,
     ForwardMetadata,
     RunState,
     Unavailable,
 )
-from caroblug.gateway._outcomes import Broken, End, Failure, Head, Quiet
-from caroblug.gateway._running import RunningStream, RunningStreams
-from caroblug.gateway._runs import RunEnd, RunResult
-from caroblug.gateway._stream_choice import PAUSE_MOST_MS, StreamChoice
-from caroblug.gateway._stream_repair import StreamRepair
+from caroblug.gateway._run_results import RunEnd, RunResult
+from caroblug.gateway._running_streams import RunningStream, RunningStreams
+from caroblug.gateway._stream_path_repair import StreamPathRepair
+from caroblug.gateway._stream_retry_policy import (
+    MAX_PAUSE_MS,
+    StreamRetryPolicy,
+)
 from caroblug.gateway._stream_state import StreamState
 
 _HEAD_LOOK_S = 0.35
@@ -26,12 +35,12 @@
 call."""
 
 
-class StreamRuns:
+class StreamRunner:
     """Runs one stream over one path after the other.
 
     Args:
         state: The stream.
-        choice: Chooses its paths.
+        policy: Chooses its paths.
         repair: Changes the path of a run.
         crashes: Requests that crash backend servers.
         running: Takes the stream while it runs.
@@ -40,14 +49,14 @@
     def __init__(
         self,
         state: StreamState,
-        choice: StreamChoice,
-        repair: StreamRepair,
-        crashes: Crashes,
+        policy: StreamRetryPolicy,
+        repair: StreamPathRepair,
+        crashes: CrashSuspicions,
         running: RunningStreams,
     ) -> None:
         self._state = state
         self._context = state.context
-        self._choice = choice
+        self._policy = policy
         self._repair = repair
         self._crashes = crashes
         self._running = running
@@ -88,7 +97,7 @@
             return head
         return self._read_answer(head)
 
-    def _send(self) -> Broken | None:
+    def _send(self) -> ExchangeFailure | None:
         """Sends the request to the first engine of the path."""
         state = self._state
         pending = state.pending
@@ -99,7 +108,7 @@
         if problem is not None:
             return problem
         for name in self._connect_attempts.on_connected():
-            state.avoid_engine(name, Failure.CONNECT.value)
+            state.avoid_engine(name, FailureKind.CONNECT.value)
         pending.on_send(self._context)
         pending.tried.add(first)
         # From its first byte on it may run, whatever is heard of it.
@@ -107,18 +116,18 @@
         state.began_on.add(first)
         return state.exchange.send(self._encode(), left_s)
 
-    def _read_head(self) -> Head | RunResult:
+    def _read_head(self) -> ResponseHead | RunResult:
         while True:
             head = self._state.exchange.read_head(self._wait_s(_HEAD_LOOK_S))
-            if isinstance(head, Head):
+            if isinstance(head, ResponseHead):
                 return head
-            if isinstance(head, Broken):
+            if isinstance(head, ExchangeFailure):
                 return self._on_broken(head)
             result = self._on_quiet(_HEAD_LOOK_S)
             if result is not None:
                 return result
 
-    def _read_answer(self, head: Head) -> RunResult:
+    def _read_answer(self, head: ResponseHead) -> RunResult:
         state = self._state
         pending = state.pending
         first = state.path.first.name
@@ -129,26 +138,28 @@
             return self._on_turned_away(head, facts)
         if facts.request_id != pending.caller.id or not facts.genuine:
             return RunResult(RunEnd.LOST, f"unproved answer {head.status}")
-        self._context.fleet.on_answer(first, None, 0, state.now_ms)
-        self._context.fleet.on_room(state.path.names)
+        self._context.fleet.on_response(first, None, 0, state.now_ms)
+        self._context.fleet.on_accepted(state.path.names)
         if head.status != 200:
             return self._read_failure(head, facts)
         return self._read_events(head, facts)
 
-    def _read_events(self, head: Head, facts: AnswerMetadata) -> RunResult:
+    def _read_events(
+        self, head: ResponseHead, facts: AnswerMetadata
+    ) -> RunResult:
         state = self._state
         reply = state.pending.reply
         while True:
-            piece = state.exchange.read_piece(self._wait_s(_PAUSE_LOOK_S))
-            if isinstance(piece, End):
+            piece = state.exchange.read_chunk(self._wait_s(_PAUSE_LOOK_S))
+            if isinstance(piece, EndOfBody):
                 if state.events.mid_event:
                     return RunResult(RunEnd.LOST, "ended inside an event")
                 if not reply.begun:
                     reply.begin(head.status, list(facts.headers))
                 return RunResult(RunEnd.WHOLE)
-            if isinstance(piece, Broken):
+            if isinstance(piece, ExchangeFailure):
                 return self._on_broken(piece)
-            if isinstance(piece, Quiet):
+            if isinstance(piece, ReadTimeout):
                 result = self._on_quiet(_PAUSE_LOOK_S)
                 if result is not None:
                     return result
@@ -167,13 +178,15 @@
     def _pass_on(self, events: list[bytes]) -> None:
         state = self._state
         state.end_reading()
-        state.pending.reply.send_piece(b"".join(events))
+        state.pending.reply.send_chunk(b"".join(events))
         now_ms = state.now_ms
         state.times.on_events(now_ms)
         state.pace.add(len(events), now_ms - state.last_event_ms)
         state.last_event_ms = now_ms
 
-    def _read_failure(self, head: Head, facts: AnswerMetadata) -> RunResult:
+    def _read_failure(
+        self, head: ResponseHead, facts: AnswerMetadata
+    ) -> RunResult:
         body = self._state.exchange.read_body(self._state.left_ms / 1000)
         if not isinstance(body, bytes):
             return RunResult(RunEnd.LOST, f"failure {head.status} not whole")
@@ -183,19 +196,19 @@
 
     # What went wrong.
 
-    def _on_broken(self, broken: Broken) -> RunResult:
+    def _on_broken(self, broken: ExchangeFailure) -> RunResult:
         state = self._state
         first = state.path.first
         if self._given_up:
             return RunResult(RunEnd.LOST, self._given_up)
         if not broken.sent:
-            if broken.failure is Failure.CONNECT:
+            if broken.failure is FailureKind.CONNECT:
                 self._connect_attempts.on_connect_failed(first.name)
                 state.avoid.add(first.name)
             else:
                 state.avoid_engine(first.name, broken.failure.value)
             return RunResult(RunEnd.NOT_SENT, broken.failure.value)
-        if broken.failure is not Failure.NOT_HTTP:
+        if broken.failure is not FailureKind.NOT_HTTP:
             self._check_first()
         return RunResult(RunEnd.LOST, broken.failure.value)
 
@@ -210,9 +223,13 @@
         report = self._context.dialect.read_report(first.address)
         if isinstance(report, Unavailable):
             state.avoid_engine(first.name, f"report: {report.message}")
-            self._crashes.on_lost(state.pending, first.name, first.address)
+            self._crashes.on_connection_lost(
+                state.pending, first.name, first.address
+            )
 
-    def _on_turned_away(self, head: Head, facts: AnswerMetadata) -> RunResult:
+    def _on_turned_away(
+        self, head: ResponseHead, facts: AnswerMetadata
+    ) -> RunResult:
         state = self._state
         reason = f"turned away with {head.status}"
         fleet = self._context.fleet
@@ -239,7 +256,7 @@
         if paused_ms < look_s * 1000:
             return None
         result = self._look_into(paused_ms)
-        if result is None or not self._choice.prepare_another_run():
+        if result is None or not self._policy.prepare_another_run():
             return None
         return result
 
@@ -260,9 +277,9 @@
             if request_id == state.pending.caller.id:
                 return self._on_stalled(address)
         lost = not state.pace.events and not report.waiting
-        if paused_ms < PAUSE_MOST_MS and not lost:
+        if paused_ms < MAX_PAUSE_MS and not lost:
             return None
-        if not self._choice.is_better_elsewhere():
+        if not self._policy.is_better_elsewhere():
             return None
         return RunResult(RunEnd.LOST, f"no event for {paused_ms} ms")
 
@@ -278,7 +295,9 @@
             # It may be dead or have given up its layers: its report tells.
             state.avoid.add(engine.name)
             self._context.engines_to_probe.add(engine.name)
-            self._crashes.on_lost(state.pending, engine.name, engine.address)
+            self._crashes.on_connection_lost(
+                state.pending, engine.name, engine.address
+            )
         if not dead or dead[0].name == state.path.first.name:
             return RunResult(RunEnd.LOST, "stalled")
         problem = self._repair.replace(dead[0].name)
--- a/caroblug/gateway/_stream_state.py
+++ b/caroblug/gateway/_stream_state.py
@@ -6,8 +6,8 @@
 from caroblug.gateway._context import Context
 from caroblug.gateway._events import EventPace, EventSequence
 from caroblug.gateway._http_client import Exchange
-from caroblug.gateway._pending import Pending
-from caroblug.gateway._timeliness import Timeliness
+from caroblug.gateway._pending_request import PendingRequest
+from caroblug.gateway._stream_latency import StreamLatency
 
 
 @attrs.define
@@ -29,8 +29,8 @@
     """
 
     context: Context
-    pending: Pending
-    times: Timeliness
+    pending: PendingRequest
+    times: StreamLatency
     events: EventSequence
     path: Path | None = None
     exchange: Exchange | None = None
@@ -64,14 +64,14 @@
         self.lost = ""
         self._take_path(path)
         self._reading = path.names
-        self.context.fleet.loads.begin_reading(self._reading)
+        self.context.fleet.loads.begin_prefill(self._reading)
         self.exchange = Exchange(path.first.address)
-        self.context.fleet.enter(path.first.name)
+        self.context.fleet.begin_request(path.first.name)
 
     def end_run(self) -> None:
         """Ends a run, however it went."""
         self.exchange.close()
-        self.context.fleet.leave(self.path.first.name)
+        self.context.fleet.end_request(self.path.first.name)
         self.end_reading()
         self._leave_path()
 
@@ -83,13 +83,13 @@
 
     def end_reading(self) -> None:
         """Notes that no engine has this run's prompt to read any more."""
-        self.context.fleet.loads.end_reading(self._reading)
+        self.context.fleet.loads.end_prefill(self._reading)
         self._reading = ()
 
     def avoid_engine(self, name: str, reason: str) -> None:
         """Lets this stream, and for a while all others, avoid an engine."""
         self.avoid.add(name)
-        for_ms = self.context.fleet.avoid(name, self.now_ms)
+        for_ms = self.context.fleet.eject(name, self.now_ms)
         self.context.log.write(
             "backend_server.avoided",
             backend_server=name,
@@ -99,10 +99,12 @@
 
     def _take_path(self, path: Path) -> None:
         self.path = path
-        self.context.fleet.loads.open(path.names, self._mean_tokens())
+        self.context.fleet.loads.add_request(path.names, self._mean_tokens())
 
     def _leave_path(self) -> None:
-        self.context.fleet.loads.close(self.path.names, self._mean_tokens())
+        self.context.fleet.loads.remove_request(
+            self.path.names, self._mean_tokens()
+        )
 
     def _mean_tokens(self) -> int:
         """Returns the memory that the stream takes on the mean of its time.
@@ -114,10 +116,10 @@
         return max(1, caller.prompt_tokens + caller.answer_tokens // 2)
 
 
-def make_stream_state(context: Context, pending: Pending) -> StreamState:
+def make_stream_state(context: Context, pending: PendingRequest) -> StreamState:
     """Returns the state of a stream that has not run yet."""
-    times = Timeliness(pending.request.began_ms)
-    pending.timeliness = times
+    times = StreamLatency(pending.request.began_ms)
+    pending.stream_latency = times
     events = EventSequence(_whole(pending.caller.resume_after))
     return StreamState(context, pending, times, events)
 
