--- a/caroblug/gateway/_peers.py
+++ b/caroblug/gateway/_peers.py
@@ -1,8 +1,10 @@
-"""What gateways tell each other: load, configuration, list, suspicions.
+"""Periodic exchange of state between gateways.
 
-It makes estimates of load better, and carries the configuration and the list
-from those that read them at the store to the others. Each tells a bounded
-number of others, however many there are.
+Gateways exchange the load that they put on engines, the configuration, the list
+of backend servers and suspicions. The exchange makes the load estimates more
+accurate, and it distributes the configuration and the list from the gateways
+that read them from the store. In each round a gateway contacts a bounded number
+of peers, independent of the number of gateways.
 """
 
 import enum
@@ -26,45 +28,52 @@
 EXCHANGE_PATH = "/tell"
 
 _EXCHANGE_INTERVAL_MS = 500
-"""How often two gateways exchange: short beside the two seconds of a stream
-whose load is told, and beside the time in which a change is to be in force."""
+"""Interval between rounds. It is short compared with the two seconds of a
+stream whose load is reported, and with the time in which a changed
+configuration has to take effect."""
 
 _RECENT_EXCHANGE_MS = 300
-"""Two gateways exchange once for both: who was told this lately does not tell.
-It halves the exchanges."""
+"""Time since a peer's last message within which it is not contacted. An
+exchange transfers state in both directions, so this halves the number of
+exchanges."""
 
 _MAX_PARTNERS = 4
-"""Gateways told each time: with five or fewer, everybody."""
+"""Peers contacted in each round. With five or fewer gateways, that is all of
+them."""
 
 _MAX_REMOTE_PARTNERS = 1
-"""Of these, how many are in other data centres if there are enough at home:
-bytes between data centres are paid for, and it is the own data centre's
-engines that are shared. One each time still carries news through fifty
-gateways in two seconds."""
+"""Limit on remote peers among them, as long as there are enough local ones.
+Traffic between data centres costs money, and mostly the local engines are
+shared. One remote peer in each round still distributes a change to fifty
+gateways within two seconds."""
 
 _MAX_READER_PARTNERS = 8
-"""The same for the gateway that reads the list for its data centre: what it
-has read is to reach the others before they read it themselves."""
+"""Peers contacted in each round by the first reader of the list in its data
+centre. The list has to reach the other gateways before they read it from the
+store themselves."""
 
 _MEMBERS_INTERVAL_MS = 30000
-"""How often the members are read: most gateways learn of a new one sooner, as
-it tells them."""
+"""Interval at which the members of the group are read. Most gateways learn of
+a new member earlier, when it contacts them."""
 
 _INITIAL_MEMBERS_INTERVAL_MS = 1000
 _INITIAL_MEMBERS_READS = 4
-"""Reads with the shorter pause after a start, while gateways join."""
+"""Reads at the shorter interval after a start, while gateways join."""
 
 _MEMBER_RETENTION_MS = 45000
-"""How long a gateway that has left the group is still told: its lease may
-have run out only because the store was away."""
+"""How long a gateway that is missing from the group is still contacted. Its
+membership may have expired only because the store was unavailable."""
 
 _PEER_TIMEOUT_MS = 1500
-"""After this a gateway's load is forgotten: its streams have been taken over
-or are lost."""
+"""Time without a message after which a gateway's load is discarded. By then its
+streams have been taken over or are lost."""
 
 
 class LeaseState(enum.Enum):
-    """How a gateway stands to the lease on placing layers."""
+    """The state of the placement lease at one gateway.
+
+    `LEAVING` means that the gateway is shutting down and gives no more orders.
+    """
 
     NONE = "none"
     HELD = "held"
@@ -72,12 +81,15 @@
 
 
 class Peers:
-    """Talks with other gateways.
+    """Exchanges state with other gateways and tracks what they report.
 
     Args:
-        context: What the gateway's parts share.
-        registry: Who takes part.
-        crashes: Requests that crash backend servers.
+        context: Shared state of the gateway's components.
+        registry: Access to the members of the group.
+        crashes: Suspicions of requests that crash backend servers.
+
+    Attributes:
+        lease_state: State of the placement lease at this gateway.
     """
 
     def __init__(
@@ -110,16 +122,16 @@
 
     @property
     def reader_ranking(self) -> ReaderRanking:
-        """Who reads at the store for this data centre."""
+        """Ranking of the local gateways that read from the store."""
         return self._reader_ranking
 
     @property
     def calls(self) -> PeerCalls:
-        """Answers other gateways' messages."""
+        """Calls to and from other gateways."""
         return self._calls
 
     def run_members(self) -> None:
-        """Reads who takes part until the process ends."""
+        """Reads the members of the group until the process ends."""
         reads = 0
         while True:
             members = self._registry.read_members()
@@ -128,17 +140,19 @@
                 for member in members:
                     self._add_member(member)
             self._remove_expired_members()
-            young = (
+            starting = (
                 reads <= _INITIAL_MEMBERS_READS
                 and not self._knows_enough_members()
             )
             pause_ms = (
-                _INITIAL_MEMBERS_INTERVAL_MS if young else _MEMBERS_INTERVAL_MS
+                _INITIAL_MEMBERS_INTERVAL_MS
+                if starting
+                else _MEMBERS_INTERVAL_MS
             )
             gevent.sleep(pause_ms / 1000)
 
     def run_exchange(self) -> None:
-        """Tells others until the process ends."""
+        """Exchanges state with peers until the process ends."""
         while True:
             if self._new_version.wait(_EXCHANGE_INTERVAL_MS / 1000):
                 self._new_version.clear()
@@ -152,23 +166,28 @@
                     gevent.spawn(self._exchange, name)
 
     def on_new_version(self, confirmed_ms: int) -> None:
-        """Tells others at once of a newer configuration.
+        """Starts a round at once to distribute a newer configuration.
 
         Args:
-            confirmed_ms: When it was known to be the newest one.
+            confirmed_ms: When the configuration was known to be the newest one.
         """
         self._reader_ranking.on_new_version(confirmed_ms)
         self._new_version.set()
 
     def call(self, name: str, path: str, message: dict) -> dict | Unavailable:
-        """Sends a message to a gateway by its name."""
+        """Sends a message to a gateway given by name and returns its answer.
+
+        Returns:
+            The answer, or `Unavailable` if the gateway is unknown or the call
+            failed.
+        """
         address = self._members.get(name)
         if address is None:
             return Unavailable(f"gateway {name} is not known")
         return self._calls.call(address, path, message)
 
     def lenders(self, service: str) -> list[str]:
-        """Returns the gateways that have repeats left, most first."""
+        """Returns gateways with more than one retry left, most left first."""
         left = {
             name: counts.get(service, 0)
             for name, counts in self._retries_left.items()
@@ -178,51 +197,53 @@
         return sorted(names, key=lambda name: (-left[name], name))
 
     def on_lent(self, name: str, service: str, lent: int) -> None:
-        """Notes that a gateway has lent repeats, or had none to lend."""
+        """Records that a gateway has lent retries, or had none to lend."""
         counts = self._retries_left.get(name)
         if counts is not None:
             left = counts.get(service, 0) - lent if lent else 0
             counts[service] = left
 
-    # Telling.
+    # Exchange of messages.
 
     def _choose_partners(self) -> list[str]:
         now_ms = self._context.clock.now_ms()
-        wanted = sorted(self._fetch_from & set(self._members))
+        sources = sorted(self._fetch_from & set(self._members))
         self._fetch_from.clear()
         names = [
             name
             for name in sorted(self._members)
             if now_ms - self._received_ms.get(name, -_RECENT_EXCHANGE_MS)
             >= _RECENT_EXCHANGE_MS
-            and name not in wanted
+            and name not in sources
         ]
         rng = self._context.rng
-        reads = bool(self._lease_states) and self.is_first_local_reader()
-        most = _MAX_READER_PARTNERS if reads else _MAX_PARTNERS
-        chosen = rng.sample(wanted, min(len(wanted), most))
-        return chosen + self._sample(names, most - len(chosen))
+        is_reader = bool(self._lease_states) and self.is_first_local_reader()
+        limit = _MAX_READER_PARTNERS if is_reader else _MAX_PARTNERS
+        chosen = rng.sample(sources, min(len(sources), limit))
+        return chosen + self._sample(names, limit - len(chosen))
 
     def _choose_outdated(self) -> list[str]:
-        """Returns whom to tell of a newer configuration."""
-        mine = self._version()
+        """Returns peers to contact that have an older configuration."""
+        version = self._version()
         names = [
             name
             for name in sorted(self._members)
-            if self._versions.get(name, -1) < mine
+            if self._versions.get(name, -1) < version
         ]
         return self._sample(names, _MAX_PARTNERS)
 
-    def _sample(self, names: list[str], most: int) -> list[str]:
-        """Chooses gateways at random, most of them in the own data centre."""
-        if len(names) <= most:
+    def _sample(self, names: list[str], limit: int) -> list[str]:
+        """Chooses gateways at random, most of them local."""
+        if len(names) <= limit:
             return names
         rng = self._context.rng
-        far = [name for name in names if name in self._remote]
-        near = [name for name in names if name not in self._remote]
-        chosen = rng.sample(far, min(len(far), most, _MAX_REMOTE_PARTNERS))
-        rest = most - len(chosen)
-        return chosen + rng.sample(near, min(len(near), rest))
+        remote = [name for name in names if name in self._remote]
+        local = [name for name in names if name not in self._remote]
+        chosen = rng.sample(
+            remote, min(len(remote), limit, _MAX_REMOTE_PARTNERS)
+        )
+        rest = limit - len(chosen)
+        return chosen + rng.sample(local, min(len(local), rest))
 
     def _exchange(self, name: str) -> None:
         try:
@@ -240,7 +261,7 @@
         context = self._context
         now_ms = context.clock.now_ms()
         settings = context.settings
-        told = context.fleet.recent_reports(now_ms)
+        reports = context.fleet.recent_reports(now_ms)
         return {
             "name": settings.instance,
             "address": list(settings.peers),
@@ -256,7 +277,7 @@
             "suspects": context.fleet.ejected(now_ms),
             "told": {
                 engine: [layers.first, layers.end, age_ms]
-                for engine, (layers, age_ms) in told.items()
+                for engine, (layers, age_ms) in reports.items()
             },
             "paces": context.fleet.recent_slowdowns(now_ms),
             "leaving": context.fleet.recently_leaving(now_ms),
@@ -267,7 +288,7 @@
         }
 
     def _handle_message(self, message: dict) -> dict:
-        """Takes another gateway's message; returns the answer."""
+        """Applies another gateway's message and returns the answer to it."""
         name = message["name"]
         host, port = message["address"]
         self._add_member(Member(name, (str(host), int(port))))
@@ -288,10 +309,11 @@
         return answer
 
     def _fetch_configuration(self, name: str, version: int) -> None:
-        """Asks a gateway for its newer configuration, at once.
+        """Starts an exchange at once to fetch a peer's newer configuration.
 
-        Only an answer carries a configuration. Who is told often enough tells
-        nobody itself, and would never get the newer one.
+        Only answers contain a configuration. A gateway that its peers contact
+        often enough starts no exchanges itself, and would never receive the
+        newer one.
         """
         self._fetch_from.add(name)
         if version > self._fetching_version and name not in self._exchanging:
@@ -300,7 +322,7 @@
             gevent.spawn(self._exchange, name)
 
     def _count_retries_left(self, now_ms: int) -> dict[str, int]:
-        """Returns how many repeats are left, by service."""
+        """Returns the number of retries left, by service."""
         context = self._context
         known = context.configuration
         gateways = context.fleet.loads.gateways
@@ -310,7 +332,7 @@
         }
 
     def _has_different_list(self, message: dict) -> bool:
-        """Returns whether another gateway's list has other entries."""
+        """Returns whether another gateway's list differs from the own one."""
         return message["list_digest"] != self._context.fleet.listing.digest
 
     def _handle_answer(self, answer: dict, name: str) -> None:
@@ -337,7 +359,7 @@
                 listed_ms = context.clock.now_ms() - age_ms
                 context.fleet.update_listing(listing, listed_ms)
 
-    # What was told.
+    # State reported by peers.
 
     def _add_member(self, member: Member) -> None:
         if member.name == self._context.settings.instance:
@@ -346,17 +368,17 @@
         self._member_seen_ms[member.name] = self._context.clock.now_ms()
 
     def _apply_peer_state(self, name: str, message: dict) -> None:
-        home = message["data_centre"] == self._context.settings.data_centre
-        (self._local if home else self._remote).add(name)
+        is_local = message["data_centre"] == self._context.settings.data_centre
+        (self._local if is_local else self._remote).add(name)
         self._apply_loads(name, message["loads"])
         self._apply_suspects(message["suspects"])
         self._apply_engine_reports(message["told"])
         self._apply_leaving(message["leaving"])
-        # Gateways of the version before don't say it.
-        self._apply_paces(message.get("paces", {}))
+        # Gateways of the previous version don't report it.
+        self._apply_slowdowns(message.get("paces", {}))
         self._apply_unanswered_orders(message.get("unanswered", {}))
         self._apply_list_age(name, message)
-        # Gateways of the version before say neither rank nor age.
+        # Gateways of the previous version report neither rank nor age.
         self._reader_ranking.set_rank(name, int(message.get("rank", 0)))
         self._versions[name] = int(message["version"])
         if self._versions[name] == self._version():
@@ -379,13 +401,14 @@
             LeaseState.HELD,
             LeaseState.LEAVING,
         ):
-            # It gives no more orders: a deputy need not wait for its silence.
+            # It gives no more orders, so the standby gateway doesn't have to
+            # wait for the holder timeout.
             self._holder_tracker.on_holder_left(now_ms)
 
     def _apply_list_age(self, name: str, message: dict) -> None:
-        """Takes the age of another gateway's list as one's own if it's equal.
+        """Adopts the age of another gateway's list if the lists are equal.
 
-        A list that differs and is younger is fetched with the next exchange.
+        A different and newer list is fetched with the next exchange.
         """
         age_ms = int(message["list_age_ms"])
         if not self._has_different_list(message):
@@ -397,27 +420,28 @@
             self._fetch_from.add(name)
 
     def _apply_engine_reports(self, told: dict) -> None:
-        """Takes what engines have told another gateway of their layers."""
+        """Applies what engines have reported to a peer about their layers."""
         now_ms = self._context.clock.now_ms()
         for engine, (first, end, age_ms) in told.items():
             layers = LayerRange(int(first), int(end))
             self._context.fleet.on_report(engine, layers, now_ms - int(age_ms))
 
     def _apply_leaving(self, leaving: dict) -> None:
-        """Takes which backend servers another gateway has found to leave.
+        """Applies which backend servers a peer has found to be draining.
 
-        Guards against a store that is away: each gateway would find out by
-        itself, a turned away request and a question at a time.
+        Guards against an unavailable store, with which each gateway would have
+        to detect each draining backend server by itself, at the cost of a
+        rejected request and a health check.
         """
         now_ms = self._context.clock.now_ms()
         for name, age_ms in leaving.items():
             self._context.fleet.on_leaving(str(name), now_ms - int(age_ms))
 
-    def _apply_paces(self, paces: dict) -> None:
-        """Takes how slow engines have told another gateway that they are.
+    def _apply_slowdowns(self, paces: dict) -> None:
+        """Applies the slowdowns that engines have reported to a peer.
 
-        Guards against finding out one gateway after the other: each has few
-        streams over a slow engine, and asks only once they have lagged.
+        Guards against late detection. Each gateway has few streams on a slow
+        engine and reads the engine's report only once they have lagged.
         """
         now_ms = self._context.clock.now_ms()
         for name, (pace, age_ms) in paces.items():
@@ -426,10 +450,11 @@
             )
 
     def _apply_unanswered_orders(self, unanswered: dict) -> None:
-        """Takes which orders of another gateway may still be carried out.
+        """Applies which orders of a peer may take effect without an answer.
 
-        Guards against the death of who gave them: the next one to place
-        layers would rely on engines that give theirs up later.
+        Guards against the failure of the gateway that gave them. The next
+        gateway to place layers would rely on engines that release their layers
+        later.
         """
         now_ms = self._context.clock.now_ms()
         for name, age_ms in unanswered.items():
@@ -442,54 +467,54 @@
         self._received_ms[name] = self._context.clock.now_ms()
         loads = self._context.fleet.loads
         loads.update_peer(name, tokens, local=name not in self._remote)
-        # Whose data centre isn't known yet is no neighbour: at the start
-        # that is everybody, for a second.
+        # A gateway whose data centre is unknown doesn't count as local. That
+        # applies to all gateways for a second after the start.
         known = self._local & set(self._members)
         loads.local_gateways = len(known) + 1
 
     def _apply_suspects(self, names: list) -> None:
-        """Looks into what another gateway takes to be gone.
+        """Queues probes of the engines that a peer considers failed.
 
-        Its word alone isn't believed: it may itself be cut off.
+        The report alone is not trusted, as the peer may itself be cut off.
         """
         self._context.engines_to_probe.update(str(name) for name in names)
 
     def is_first_local_reader(self) -> bool:
-        """Returns whether this is the first reader of its data centre."""
+        """Returns whether this gateway reads first in its data centre."""
         return self._reader_ranking.is_first_reader(self._local_peers())
 
     def reads_configuration(self) -> bool:
         """Returns whether this gateway waits at the store for changes."""
-        heard_ms = max(self._received_ms.values(), default=0)
+        received_ms = max(self._received_ms.values(), default=0)
         return self._reader_ranking.waits_for_changes(
-            self._local_peers(), heard_ms
+            self._local_peers(), received_ms
         )
 
     def _local_peers(self) -> list[str]:
-        """Returns other gateways of the data centre that are heard."""
+        """Returns the other active gateways of the data centre."""
         return [
             name for name in self._active_peers() if name not in self._remote
         ]
 
     def is_acting_standby(self) -> bool:
-        """Returns whether this gateway places layers for want of a holder.
+        """Returns whether this gateway acts as there is no lease holder.
 
-        That is the first by name of those that are heard and stay, once no
-        holder of the lease has been heard of for some time.
+        The standby is the first by name of the active gateways. It places
+        layers once no lease holder has been seen for the holder timeout.
         """
         if self.lease_state is LeaseState.HELD:
             return False
         if not self._holder_tracker.is_missing(self._context.clock.now_ms()):
             return False
-        me = self._context.settings.instance
-        return me == min([me, *self._active_peers()])
+        own_name = self._context.settings.instance
+        return own_name == min([own_name, *self._active_peers()])
 
     def another_holds_lease(self) -> bool:
-        """Returns whether another gateway says that it holds the lease."""
+        """Returns whether another gateway reports that it holds the lease."""
         return LeaseState.HELD in self._lease_states.values()
 
     def _active_peers(self) -> list[str]:
-        """Returns the names of gateways that are heard and don't leave."""
+        """Returns the names of peers that report state and are not leaving."""
         return [
             name
             for name, state in self._lease_states.items()
@@ -497,13 +522,13 @@
         ]
 
     def _holder_age_ms(self, now_ms: int) -> int:
-        """Returns how long ago a holder of the lease was heard of."""
+        """Returns the time since a lease holder was seen, in ms."""
         if self.lease_state is LeaseState.HELD:
             return 0
         return self._holder_tracker.age_ms(now_ms)
 
     def describe_lease_states(self) -> dict[str, str]:
-        """Returns how the gateways that are heard stand to the lease."""
+        """Returns the lease states that other gateways report, by name."""
         return {name: t.value for name, t in self._lease_states.items()}
 
     def _remove_expired_members(self) -> None:
@@ -519,15 +544,15 @@
 
     def _remove_silent_peers(self) -> None:
         now_ms = self._context.clock.now_ms()
-        for name, heard_ms in list(self._received_ms.items()):
-            if now_ms - heard_ms > _PEER_TIMEOUT_MS:
+        for name, received_ms in list(self._received_ms.items()):
+            if now_ms - received_ms > _PEER_TIMEOUT_MS:
                 del self._received_ms[name]
                 self._lease_states.pop(name, None)
                 self._retries_left.pop(name, None)
                 self._context.fleet.loads.remove_peer(name)
 
     def _knows_enough_members(self) -> bool:
-        """Returns whether as many are known as are told each time."""
+        """Returns whether as many members are known as a round contacts."""
         gateways = self._context.fleet.loads.gateways
         return len(self._members) >= max(1, min(gateways - 1, _MAX_PARTNERS))
 
--- a/caroblug/gateway/tests/__init__.py
+++ b/caroblug/gateway/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests."""
+"""Tests of the gateway."""
--- a/caroblug/gateway/tests/test_peers.py
+++ b/caroblug/gateway/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""Whom a gateway tells, and how many."""
+"""Tests of the peer exchange: choice of partners and reported state."""
 
 from caroblug.gateway._interfaces import Member
 from caroblug.gateway._peers import LeaseState
@@ -10,54 +10,64 @@
 )
 
 
-def make_peers(near: int, far: int, heard: bool = True, name: str = "z0"):
-    """Returns the peers of a gateway in data centre a, and names near it."""
+def make_peers(
+    local: int, remote: int, reported: bool = True, name: str = "z0"
+):
+    """Returns the peers of a gateway in data centre a.
+
+    Args:
+        local: Number of peers in the same data centre.
+        remote: Number of peers in another data centre.
+        reported: Whether the peers have already reported their state.
+        name: Name of the gateway.
+    """
     _, _, peers, _ = make_placement(name)
-    places = {f"near{i}": "a" for i in range(near)}
-    places.update({f"far{i}": "b" for i in range(far)})
+    places = {f"local{i}": "a" for i in range(local)}
+    places.update({f"remote{i}": "b" for i in range(remote)})
     for name, data_centre in places.items():
         peers._add_member(Member(name, ("10.0.0.1", 1)))
-        if heard:
+        if reported:
             tell(peers, name, LeaseState.NONE, data_centre=data_centre)
     peers._received_ms.clear()
     return peers
 
 
-def test_few_gateways_are_all_told():
-    peers = make_peers(near=1, far=2)
+def test_few_peers_are_all_contacted():
+    peers = make_peers(local=1, remote=2)
 
-    assert sorted(peers._choose_partners()) == ["far0", "far1", "near0"]
+    assert sorted(peers._choose_partners()) == ["local0", "remote0", "remote1"]
 
 
-def test_most_partners_are_in_the_own_data_centre():
-    # Guards against paid bytes between data centres for load at home.
-    peers = make_peers(near=5, far=20)
+def test_most_partners_are_local():
+    # Guards against paid traffic between data centres for loads that matter
+    # only locally.
+    peers = make_peers(local=5, remote=20)
 
     for _ in range(20):
         partners = peers._choose_partners()
         assert len(partners) == 4
-        assert sum(name.startswith("far") for name in partners) == 1
+        assert sum(name.startswith("remote") for name in partners) == 1
 
 
-def test_reader_of_the_list_tells_more_of_its_neighbours():
-    # Guards against neighbours that read what it has just read.
-    peers = make_peers(near=12, far=20, name="a0")
+def test_reader_of_the_list_contacts_more_local_peers():
+    # Guards against local peers that read the list again from the store.
+    peers = make_peers(local=12, remote=20, name="a0")
 
     partners = peers._choose_partners()
 
     assert len(partners) == 8
-    assert sum(name.startswith("far") for name in partners) == 1
+    assert sum(name.startswith("remote") for name in partners) == 1
 
 
-def test_gateway_that_has_just_started_tells_as_many_as_ever():
-    # Guards against a new gateway that learns of its neighbours' load too late.
-    peers = make_peers(near=5, far=20, heard=False)
+def test_gateway_that_has_just_started_contacts_as_many_peers_as_later():
+    # Guards against a new gateway that receives its local peers' load too late.
+    peers = make_peers(local=5, remote=20, reported=False)
 
     assert len(peers._choose_partners()) == 4
 
 
-def test_word_of_a_leaving_engine_is_believed_until_a_newer_list():
-    # Guards against a question by each gateway about the same leaving engine.
+def test_reported_leaving_engine_is_not_used_until_a_newer_list():
+    # Guards against a health check by each gateway of the same leaving engine.
     context, _, peers, _ = make_placement("g0")
     with_engines(context, make_engine("x", 0, 40), make_engine("y", 0, 40))
     context.clock.advance(3000)
@@ -67,7 +77,7 @@
     assert [b.name for b in context.fleet.backends("pool")] == ["y"]
 
 
-def test_old_word_of_a_leaving_engine_loses_to_the_list():
+def test_newer_list_overrides_the_report_of_a_leaving_engine():
     context, _, peers, _ = make_placement("g0")
     with_engines(context, make_engine("x", 0, 40))
 
@@ -76,22 +86,27 @@
     assert [b.name for b in context.fleet.backends("pool")] == ["x"]
 
 
-def test_newer_configuration_is_fetched_from_who_told_of_it():
-    # Guards against an old configuration where a gateway is only ever told.
+def test_newer_configuration_is_fetched_from_the_peer_that_reported_it():
+    # Guards against an outdated configuration at a gateway that its peers
+    # always contact first.
     context, _, peers, _ = make_placement("g0")
-    told = {**peers._build_message(), "name": "g1", "address": ["10.0.0.1", 1]}
-    peers._handle_message(told)
+    message = {
+        **peers._build_message(),
+        "name": "g1",
+        "address": ["10.0.0.1", 1],
+    }
+    peers._handle_message(message)
     assert peers._choose_partners() == []
 
     peers._handle_message(
-        {**told, "version": context.configuration.version + 1}
+        {**message, "version": context.configuration.version + 1}
     )
 
     assert peers._choose_partners() == ["g1"]
 
 
-def test_who_has_something_new_is_asked_among_many():
-    peers = make_peers(near=10, far=20)
-    peers._fetch_from.add("far7")
+def test_peer_with_newer_state_is_contacted_among_many():
+    peers = make_peers(local=10, remote=20)
+    peers._fetch_from.add("remote7")
 
-    assert "far7" in peers._choose_partners()
+    assert "remote7" in peers._choose_partners()
--- a/caroblug/gateway/tests/test_start.py
+++ b/caroblug/gateway/tests/test_start.py
@@ -1,4 +1,4 @@
-"""Callers that come while the program is still being loaded."""
+"""Tests of connections that arrive while the program is starting."""
 
 import socket
 
@@ -20,8 +20,8 @@
     )
 
 
-def test_caller_that_came_before_the_server_is_answered():
-    # Guards against callers that are refused while a gateway loads its modules.
+def test_caller_that_connected_before_the_server_started_is_answered():
+    # Guards against refused connections while a gateway loads its modules.
     address = ("127.0.0.1", Ports().take())
     listening.hold(address)
     with socket.create_connection(address, timeout=5) as caller:
@@ -37,7 +37,7 @@
     server.stop_listening()
 
 
-def test_server_listens_by_itself_where_nobody_did():
+def test_server_opens_its_own_socket_if_none_was_held():
     server = make_server(("127.0.0.1", 0))
     server.start()
 
@@ -47,7 +47,8 @@
 
 
 def test_caller_can_connect_before_the_server_answers():
-    # Guards against callers that are refused just after a gateway is ready.
+    # Guards against refused connections just after a gateway reports that it is
+    # ready.
     address = ("127.0.0.1", Ports().take())
     server = make_server(address)
     server.listen()
