--- a/caroblug/gateway/_store_watcher.py
+++ b/caroblug/gateway/_store_watcher.py
@@ -1,4 +1,4 @@
-"""Reading configuration and backend servers from the platform."""
+"""Watching the platform's store for the configuration and backend servers."""
 
 from collections.abc import Callable
 from typing import TypeVar
@@ -17,70 +17,78 @@
 _Read = TypeVar("_Read")
 
 _MAX_LIST_AGE_MS = 700
-"""Age of the list of backend servers from which the first by name of the
-gateways of a data centre reads it again, in ms. It tells the others within
-half a second, so that what is sent to leaving backend servers ends within two
-seconds, and each data centre makes some 1.2 paid reads a second."""
+"""Age of the list of backend servers at which the first reader of a data centre
+reads it again. The other gateways receive it within half a second, so that
+requests stop going to leaving backend servers within two seconds. Each data
+centre makes about 1.2 paid reads a second."""
 
 _MAX_FOLLOWER_LIST_AGE_MS = 1300
-"""The same for the other gateways, which read only if they hear nothing."""
+"""Age at which the other gateways read the list. They do so only if they don't
+receive it from a peer."""
 
 _LIST_JITTER_MS = 200
-"""Added at random, so that gateways don't read at the same moment."""
+"""Maximum random addition to these ages, so that gateways don't read at the
+same moment."""
 
 _LIST_RETRY_MS = 900
-"""Pause after a read that failed; refused calls are paid for as well."""
+"""Pause after a failed read of the list. Rejected calls cost money, too."""
 
 _LIST_POLL_S = 0.05
 _INITIAL_LIST_RETRY_MS = 150
-"""Pause until a first list has been read."""
+"""Pause after a failed read while no list has been read yet."""
 
 _FIRST_READER_WAIT_MS = 3000
-"""Wait for a change of the first by name of the gateways of a data centre. A
-connection that went silent tells nothing until its wait ends, and all gateways
-begin to wait anew at the same moment, with each change: this one finds a change
-and tells the others, however long theirs are."""
+"""Duration of the first reader's wait for a change. A connection that went
+silent reports nothing until its wait ends, and all gateways restart their waits
+at the same moment, with each change. The first reader's short wait finds the
+next change and distributes it, however long the waits of the others are."""
 
 _FIRST_READER_OVERDUE_MS = 4000
-"""Age from which the wait of a gateway that has become the first is ended."""
+"""Duration after which the wait of a gateway that has become the first reader
+is restarted."""
 
 _WAIT_PER_GATEWAY_MS = 1000
-"""Time between two ends of a wait, over all other gateways."""
+"""Time between two ends of a wait, over all gateways except first readers."""
 
 _FOLLOWER_POLL_S = 0.05
-"""How often a gateway that follows others looks whether it still may."""
+"""Interval at which a gateway that doesn't read the configuration itself checks
+whether it has to."""
 
 _MIN_WAIT_MS = 4000
 _MAX_WAIT_MS = 20000
 _WAIT_JITTER = 0.25
-"""Share by which waits differ, so that they don't all end together."""
+"""Maximum share by which a wait is shortened at random, so that the waits don't
+all end at the same moment."""
 
 _WAIT_SLACK_MS = 2000
-"""Added to a wait before it is given up, whatever its connection does."""
+"""Time beyond its duration after which a wait is aborted, in whatever state its
+connection is."""
 
 _READ_TIMEOUT_MS = 1500
 _MAX_READ_TIMEOUT_MS = 12000
-"""Bound on a whole read, doubled with each one in a row that failed: a large
-configuration or list may take longer on a slow link, and a read may also
-hang."""
+"""Timeout of a whole read and its maximum. The timeout doubles with each
+consecutive failure, as a large configuration or list may take longer on a slow
+link. A read may also hang."""
 
 _RECOVERY_READ_WAIT_S = 0.2
-"""How long the list waits for a read of the configuration."""
+"""How long the loop that reads the list waits for the configuration to be
+reread."""
 
 _RETRY_MS = 250
 _MAX_RETRY_MS = 2000
-"""Pause after a read of the configuration that failed, doubled with each one in
-a row: calls that are refused are paid for as well. A list that is read again,
-and other gateways, tell sooner that there is something to read."""
+"""Pause after a failed read of the configuration and its maximum. The pause
+doubles with each consecutive failure, as rejected calls cost money, too. After
+an outage, a successful read of the list triggers the next read earlier, and a
+peer may deliver a newer configuration."""
 
 
 class StoreWatcher:
-    """Keeps configuration and list of backend servers up to date.
+    """Keeps the configuration and the list of backend servers up to date.
 
     Args:
-        context: What the gateway's parts share.
-        registry: The platform's list and configuration.
-        peers: Other gateways.
+        context: Shared state of the gateway's components.
+        registry: Access to the platform's list and configuration.
+        peers: Exchange of state with other gateways.
     """
 
     def __init__(
@@ -96,7 +104,7 @@
         self._waiting_since_ms: int | None = None
 
     def run_configuration(self) -> None:
-        """Follows the configuration."""
+        """Reads the configuration and its changes until the process ends."""
         end = None
         failures = 0
         while True:
@@ -109,7 +117,8 @@
             if read is None:
                 end = None
                 continue
-            # A wait tells of the moment in which it ends.
+            # The result of a read holds for when it started, and that of a wait
+            # for when it ended.
             now_ms = self._context.clock.now_ms()
             self._apply_read(read, started_ms if end is None else now_ms)
             if isinstance(read, Unavailable):
@@ -121,13 +130,13 @@
             end = max(read.end, end or 0)
 
     def _retry_delay_ms(self, failures: int) -> int:
-        """Returns the pause after a failed read.
+        """Returns the pause after a failed read of the configuration.
 
         Args:
-            failures: Reads that had failed before it, in a row.
+            failures: Number of consecutive failures before it.
         """
         if self._context.configuration is None:
-            # Nothing can be served before the first one.
+            # No request can be served before the first configuration.
             return _RETRY_MS
         return min(_MAX_RETRY_MS, _RETRY_MS << min(failures, 4))
 
@@ -137,11 +146,12 @@
         """Reads the newest configuration, or waits for one after `end`.
 
         Args:
-            end: Where to wait; None to read.
-            failures: Reads that have failed, in a row.
+            end: Position after which to wait for a change; None to read.
+            failures: Number of consecutive failures so far.
 
         Returns:
-            What came; None if the call was given up to read anew.
+            The result of the call; None if the call was aborted in order to
+            read again.
         """
         registry = self._registry
         if end is None:
@@ -174,11 +184,11 @@
         return int(wait_ms * jitter)
 
     def _apply_read(self, read, confirmed_ms: int) -> None:
-        """Takes what was read.
+        """Applies the result of a read or wait.
 
         Args:
-            read: What came.
-            confirmed_ms: When it was the newest for certain.
+            read: The result.
+            confirmed_ms: When the result was known to be current.
         """
         self._record_outcome("configuration", read)
         if isinstance(read, Unavailable):
@@ -192,12 +202,13 @@
         self._peers.reader_ranking.confirm_version(confirmed_ms)
 
     def _on_store_recovered(self) -> None:
-        """Lets the configuration be read anew.
+        """Makes the configuration be read again after an outage of the store.
 
-        Guards against a call that was sent while the store answered nobody:
-        it is never answered, and a change would be taken only when its time is
-        over. The list shows first that the store is back; it doesn't wait long
-        for a read, which may hang like any other.
+        Guards against a call that was sent while the store gave no answers. It
+        is never answered, and a change would be applied only after its timeout.
+        A successful read of the list is the first sign of the recovery. The
+        loop that reads the list waits only briefly here, as this read may hang
+        as well.
         """
         if self._call is None:
             gevent.spawn(self._reread_configuration).join(_RECOVERY_READ_WAIT_S)
@@ -205,7 +216,7 @@
             self._call.kill(block=False)
 
     def _reread_configuration(self) -> None:
-        """Reads the newest configuration and takes it."""
+        """Reads the newest configuration and applies it."""
         started_ms = self._context.clock.now_ms()
         read = _read_with_timeout(
             self._registry.read_configuration, _READ_TIMEOUT_MS
@@ -213,10 +224,10 @@
         self._apply_read(read, started_ms)
 
     def _restart_long_wait(self) -> None:
-        """Ends a wait that is too long for the first of a data centre.
+        """Restarts a wait that is too long for the first reader.
 
-        Guards against the end of the gateway that was the first before: the
-        next one may be in a long wait on a connection that went silent.
+        Guards against the failure of the previous first reader, as the next
+        one may be in a long wait on a connection that went silent.
         """
         since_ms = self._waiting_since_ms
         if since_ms is None or not self._peers.is_first_local_reader():
@@ -225,7 +236,7 @@
             self._call.kill(block=False)
 
     def run_list(self) -> None:
-        """Keeps the list of backend servers young until the process ends."""
+        """Refreshes the list of backend servers until the process ends."""
         fleet = self._context.fleet
         while True:
             self._restart_long_wait()
@@ -253,7 +264,7 @@
         return base_ms + self._context.rng.random() * _LIST_JITTER_MS
 
     def _read_list(self) -> bool:
-        """Reads the list of backend servers once; returns whether it came."""
+        """Reads the list of backend servers; returns whether that succeeded."""
         context = self._context
         started_ms = context.clock.now_ms()
         timeout_ms = _read_timeout_ms(self._list_failures)
@@ -278,7 +289,7 @@
         return True
 
     def _record_outcome(self, what: str, read) -> None:
-        """Writes a line when a dependency is lost or regained."""
+        """Counts a call to the store and logs when an outage begins or ends."""
         self._context.telemetry.count("store_calls", what=what)
         if isinstance(read, Unavailable):
             self._context.telemetry.count("store_calls_failed", what=what)
@@ -293,14 +304,14 @@
 
 
 def _read_timeout_ms(failures: int) -> int:
-    """Returns the bound on a read after failures in a row."""
+    """Returns the timeout of a read after consecutive failures."""
     return min(_MAX_READ_TIMEOUT_MS, _READ_TIMEOUT_MS << min(failures, 3))
 
 
 def _read_with_timeout(
     read: Callable[[], _Read], timeout_ms: int
 ) -> _Read | Unavailable:
-    """Reads; returns `Unavailable` if that takes longer than the bound."""
+    """Returns the result of a read, or `Unavailable` after the timeout."""
     with gevent.Timeout(timeout_ms / 1000, False):
         return read()
     return Unavailable(f"no answer within {timeout_ms} ms")
--- a/caroblug/gateway/tests/test_store_watcher.py
+++ b/caroblug/gateway/tests/test_store_watcher.py
@@ -1,4 +1,4 @@
-"""Following the configuration through an outage of the store."""
+"""Tests of watching the store, mostly during and after its outages."""
 
 import gevent
 import pytest
@@ -17,12 +17,13 @@
 from caroblug.utils import ManualClock
 
 
-def configured(version: int) -> Configuration:
+def make_configuration(version: int) -> Configuration:
     return Configuration(version, {}, {}, RequestLimits(), None)
 
 
-def test_configuration_is_read_again_when_the_store_is_back():
-    # Guards against a change that is taken only when a lost wait has ended.
+def test_configuration_is_read_again_when_the_store_recovers():
+    # Guards against a change that is applied only after the timeout of a wait
+    # whose answer was lost.
     context, registry, peers, _ = make_placement()
     watcher = StoreWatcher(context, registry, peers)
     reads = []
@@ -36,18 +37,23 @@
     assert reads
 
 
-def test_wait_that_hangs_is_given_up_when_the_store_is_back():
-    # Guards against a wait on a connection that went silent with the store.
+def test_hanging_wait_is_aborted_when_the_store_recovers():
+    # Guards against a long wait on a connection that went silent during an
+    # outage of the store.
     context, registry, peers, _ = make_placement()
     watcher = StoreWatcher(context, registry, peers)
     registry.wait_for_change = lambda end, wait_ms: event.Event().wait()
-    registry.read_configuration = lambda: ConfigurationRead(configured(6), 1)
+    registry.read_configuration = lambda: ConfigurationRead(
+        make_configuration(6), 1
+    )
     loop = gevent.spawn(watcher.run_configuration)
     gevent.idle()
     registry.read_backends = lambda: Unavailable("silent")
     watcher._read_list()
 
-    registry.read_configuration = lambda: ConfigurationRead(configured(7), 2)
+    registry.read_configuration = lambda: ConfigurationRead(
+        make_configuration(7), 2
+    )
     registry.read_backends = lambda: make_listing({}, 2, 0, "")
     watcher._read_list()
     gevent.idle()
@@ -57,8 +63,8 @@
 
 
 @pytest.mark.parametrize("gateways", [0, 1, 5, 26, 400])
-def test_some_gateway_waits_anew_every_second_or_each_does_in_some(gateways):
-    # Guards against waits that all hang on silent connections for long.
+def test_waits_of_all_gateways_together_restart_often_enough(gateways):
+    # Guards against all gateways waiting long on connections that went silent.
     context, registry, peers, _ = make_placement()
     context.fleet.loads.gateways = gateways
     wait_ms = StoreWatcher(context, registry, peers)._choose_wait_ms()
@@ -67,8 +73,8 @@
     assert wait_ms / max(1, gateways) <= 4000
 
 
-def test_store_that_is_away_is_asked_less_and_less_often():
-    # Guards against many paid calls to a store that refuses them all.
+def test_unavailable_store_is_called_less_and_less_often():
+    # Guards against the cost of many calls to a store that rejects all of them.
     context, registry, peers, _ = make_placement()
     watcher = StoreWatcher(context, registry, peers)
 
@@ -84,7 +90,7 @@
 
 @pytest.fixture
 def fast_watcher(monkeypatch):
-    """StoreWatcher with short bounds on reads, and what they share."""
+    """Returns a watcher with short timeouts and the parts that it uses."""
     monkeypatch.setattr(_store_watcher, "_READ_TIMEOUT_MS", 20)
     monkeypatch.setattr(_store_watcher, "_RECOVERY_READ_WAIT_S", 0.02)
     monkeypatch.setattr(_store_watcher, "_RETRY_MS", 1)
@@ -93,7 +99,7 @@
 
 
 def hang(*args):
-    """Answers never."""
+    """Blocks forever, like a call that gets no answer."""
     event.Event().wait()
 
 
@@ -104,15 +110,15 @@
 
 
 def wait_for_version(context, version):
-    """Waits until a version is in force; a test that hangs has failed."""
+    """Waits until a version is applied; without it the test never ends."""
     while context.configuration.version < version:
         gevent.sleep(0.005)
 
 
-def test_read_that_hangs_is_given_up_and_sent_again(fast_watcher):
-    # Guards against a read on a connection that brings no end.
+def test_hanging_read_is_aborted_and_repeated(fast_watcher):
+    # Guards against a read on a connection that never delivers its end.
     watcher, context, registry, _ = fast_watcher
-    answers = iter([hang, lambda: ConfigurationRead(configured(7), 2)])
+    answers = iter([hang, lambda: ConfigurationRead(make_configuration(7), 2)])
     registry.read_configuration = lambda: next(answers)()
     registry.wait_for_change = hang
 
@@ -122,10 +128,10 @@
     loop.kill()
 
 
-def test_read_that_hangs_is_given_up_when_the_store_is_back(
+def test_hanging_read_is_aborted_when_the_store_recovers(
     fast_watcher, monkeypatch
 ):
-    # Guards against a read that was sent while the store answered nobody.
+    # Guards against a read that was sent while the store gave no answers.
     monkeypatch.setattr(_store_watcher, "_READ_TIMEOUT_MS", 1_000_000)
     monkeypatch.setattr(_store_watcher, "_MAX_READ_TIMEOUT_MS", 1_000_000)
     watcher, context, registry, _ = fast_watcher
@@ -134,7 +140,9 @@
     registry.read_backends = lambda: Unavailable("silent")
     watcher._read_list()
 
-    registry.read_configuration = lambda: ConfigurationRead(configured(7), 2)
+    registry.read_configuration = lambda: ConfigurationRead(
+        make_configuration(7), 2
+    )
     registry.read_backends = lambda: make_listing({}, 2, 0, "")
     watcher._read_list()
 
@@ -142,8 +150,9 @@
     loop.kill()
 
 
-def test_read_that_hangs_does_not_hold_up_the_list(fast_watcher, monkeypatch):
-    # Guards against leaving backend servers that get work while a read hangs.
+def test_hanging_read_does_not_delay_the_list(fast_watcher, monkeypatch):
+    # Guards against requests to leaving backend servers while a read of the
+    # configuration hangs.
     monkeypatch.setattr(_store_watcher, "_READ_TIMEOUT_MS", 1_000_000)
     watcher, context, registry, _ = fast_watcher
     registry.read_configuration = hang
@@ -155,16 +164,16 @@
     assert context.fleet.has_listing
 
 
-def test_list_that_hangs_counts_as_unavailable(fast_watcher):
-    # Guards against a list that grows old behind one read without an end.
+def test_hanging_read_of_the_list_counts_as_failed(fast_watcher):
+    # Guards against an outdated list because of one read that never ends.
     watcher, _, registry, _ = fast_watcher
     registry.read_backends = hang
 
     assert not watcher._read_list()
 
 
-def test_list_that_a_slow_link_brings_late_is_read_in_the_end(fast_watcher):
-    # Guards against a list that is cut off by its bound each time.
+def test_list_is_read_in_the_end_over_a_slow_link(fast_watcher):
+    # Guards against a read of the list that exceeds its timeout each time.
     watcher, _, registry, _ = fast_watcher
 
     def slow_read():
@@ -176,14 +185,14 @@
     assert any(watcher._read_list() for _ in range(6))
 
 
-def test_wait_that_outlasts_its_time_is_given_up(fast_watcher, monkeypatch):
-    # Guards against a wait that brings bytes now and then, but no end.
+def test_wait_that_exceeds_its_duration_is_aborted(fast_watcher, monkeypatch):
+    # Guards against a wait that receives bytes occasionally but never ends.
     monkeypatch.setattr(_store_watcher, "_FIRST_READER_WAIT_MS", 1)
     monkeypatch.setattr(_store_watcher, "_WAIT_SLACK_MS", 20)
     watcher, context, registry, _ = fast_watcher
     versions = iter([6, 7])
     registry.read_configuration = lambda: ConfigurationRead(
-        configured(next(versions)), 1
+        make_configuration(next(versions)), 1
     )
     registry.wait_for_change = hang
 
@@ -193,19 +202,21 @@
     loop.kill()
 
 
-def test_reads_that_fail_in_a_row_get_more_time():
-    # Guards against a large configuration that a slow link never brings whole.
-    bounds = [
+def test_timeout_grows_with_consecutive_failures():
+    # Guards against a large configuration that never arrives completely over a
+    # slow link.
+    timeouts = [
         _store_watcher._read_timeout_ms(failures) for failures in range(6)
     ]
 
-    assert bounds == sorted(bounds)
-    assert bounds[-1] >= 10_000
+    assert timeouts == sorted(timeouts)
+    assert timeouts[-1] >= 10_000
 
 
 @pytest.mark.parametrize("gateways", [5, 26, 400])
-def test_first_of_a_data_centre_waits_anew_within_seconds(gateways):
-    # Guards against waits begun together, with a change, that all go silent.
+def test_first_reader_restarts_its_wait_within_seconds(gateways):
+    # Guards against waits that all began with the same change and whose
+    # connections all went silent.
     context, registry, peers, _ = make_placement("g1")
     context.fleet.loads.gateways = gateways
     for index in range(2, 9):
@@ -215,8 +226,8 @@
 
 
 @pytest.mark.parametrize("gateways", [5, 26, 400])
-def test_others_of_a_data_centre_wait_longer_the_more_they_are(gateways):
-    # Guards against paid waits that grow with the number of gateways.
+def test_waits_of_other_gateways_grow_with_their_number(gateways):
+    # Guards against a cost of waits that grows with the number of gateways.
     context, registry, peers, _ = make_placement("g2")
     context.fleet.loads.gateways = gateways
     tell(peers, "g1", LeaseState.NONE)
@@ -227,13 +238,18 @@
     assert wait_ms / gateways <= 4000
 
 
-def test_gateway_that_becomes_the_first_gives_a_long_wait_up(fast_watcher):
-    # Guards against the end of the gateway that found changes for the others.
+def test_gateway_that_becomes_the_first_reader_restarts_a_long_wait(
+    fast_watcher,
+):
+    # Guards against the failure of the first reader, whose short waits find
+    # changes for the other gateways.
     clock = ManualClock(100_000)
     context, registry, peers, _ = make_placement("g2", clock)
     watcher = StoreWatcher(context, registry, peers)
     tell(peers, "g1", LeaseState.NONE)
-    registry.read_configuration = lambda: ConfigurationRead(configured(6), 1)
+    registry.read_configuration = lambda: ConfigurationRead(
+        make_configuration(6), 1
+    )
     registry.wait_for_change = hang
     loop = start_loop(watcher)
     clock.advance(4800)
@@ -242,7 +258,9 @@
     assert context.configuration.version == 6
 
     tell(peers, "g1", LeaseState.LEAVING)
-    registry.read_configuration = lambda: ConfigurationRead(configured(7), 2)
+    registry.read_configuration = lambda: ConfigurationRead(
+        make_configuration(7), 2
+    )
     watcher._restart_long_wait()
 
     wait_for_version(context, 7)
