--- a/caroblug/gateway/_decision_log.py
+++ b/caroblug/gateway/_decision_log.py
@@ -91,7 +91,7 @@
             except BlockingIOError:
                 return
             except OSError:
-                # The reader is gone for good: drop the lines and go on serving.
+                # The output is closed: drop the lines and go on serving.
                 self._dropped += len(self._lines)
                 self._lines.clear()
                 return
--- a/caroblug/gateway/_peers.py
+++ b/caroblug/gateway/_peers.py
@@ -450,7 +450,7 @@
             )
 
     def _apply_unanswered_orders(self, unanswered: dict) -> None:
-        """Applies which orders of a peer may take effect without an answer.
+        """Records a peer's unanswered orders, which may still take effect.
 
         Guards against the failure of the gateway that gave them. The next
         gateway to place layers would rely on engines that release their layers
