--- a/caroblug/gateway/_context.py
+++ b/caroblug/gateway/_context.py
@@ -22,7 +22,7 @@
         settings: Current settings.
         clock: Source of time.
         rng: Random number generator.
-        dialect: Wire format of requests, answers, reports and orders.
+        dialect: Wire protocol for requests, answers, reports and orders.
         fleet: Known backend servers and their state.
         retry_budget: Bound on requests that are sent again.
         retry_after: Chooses the delay after which refused callers may retry.
--- a/caroblug/gateway/_gateway.py
+++ b/caroblug/gateway/_gateway.py
@@ -331,7 +331,7 @@
 
     Args:
         settings: Validated settings.
-        dialect: Wire format of requests, answers, reports and orders.
+        dialect: Wire protocol for requests, answers, reports and orders.
         registry: Access to the platform's list, configuration and group.
         reload: Reads the settings again.
     """
--- a/caroblug/gateway/_interfaces.py
+++ b/caroblug/gateway/_interfaces.py
@@ -301,7 +301,7 @@
 
 
 class Dialect(abc.ABC):
-    """The platform's wire format of requests, answers, reports and orders."""
+    """The platform's protocol for requests, answers, reports and orders."""
 
     @abc.abstractmethod
     def decode_request(self, request: RawRequest) -> CallerRequest:
--- a/caroblug/gateway/_reader_ranking.py
+++ b/caroblug/gateway/_reader_ranking.py
@@ -92,16 +92,16 @@
         """Records when a newly applied configuration was the newest one."""
         self._confirmed_ms = confirmed_ms
 
-    def is_first_reader(self, neighbours: Iterable[str]) -> bool:
+    def is_first_reader(self, local_peers: Iterable[str]) -> bool:
         """Returns whether this gateway ranks first.
 
         Args:
-            neighbours: Other active gateways of the data centre.
+            local_peers: Other active gateways of the data centre.
         """
-        return self._count_ahead(neighbours) == 0
+        return self._count_ahead(local_peers) == 0
 
     def waits_for_changes(
-        self, neighbours: Iterable[str], received_ms: int
+        self, local_peers: Iterable[str], received_ms: int
     ) -> bool:
         """Returns whether this gateway waits at the store for changes.
 
@@ -110,21 +110,21 @@
         moment, and their streams would pause behind the transfer.
 
         Args:
-            neighbours: Other active gateways of the data centre.
+            local_peers: Other active gateways of the data centre.
             received_ms: When the last message of any gateway arrived.
         """
         if (
             self._confirmed_ms is None
-            or self._count_ahead(neighbours) < _READERS_PER_DATA_CENTRE
+            or self._count_ahead(local_peers) < _READERS_PER_DATA_CENTRE
         ):
             return True
         if self._clock.now_ms() - received_ms > _ISOLATION_TIMEOUT_MS:
             return True
         return self.version_age_ms > _CONFIRMATION_TIMEOUT_MS
 
-    def _count_ahead(self, neighbours: Iterable[str]) -> int:
-        """Returns how many neighbours rank ahead of this gateway."""
+    def _count_ahead(self, local_peers: Iterable[str]) -> int:
+        """Returns how many local peers rank ahead of this gateway."""
         mine = (self._rank, self._instance)
         return sum(
-            (self._ranks.get(name, 0), name) < mine for name in neighbours
+            (self._ranks.get(name, 0), name) < mine for name in local_peers
         )
--- a/caroblug/gateway/tests/test_configuration_spread.py
+++ b/caroblug/gateway/tests/test_configuration_spread.py
@@ -23,7 +23,7 @@
 
 
 def make_peers(name="g5", others=14, version_age_ms=0):
-    """Returns the peers of a gateway that has state of its neighbours."""
+    """Returns the `Peers` of a gateway that other gateways have contacted."""
     context, _, peers, _ = make_placement(name)
     for i in range(others):
         other = f"g{i}"
