--- a/caroblug/gateway/tests/test_store_watcher.py
+++ b/caroblug/gateway/tests/test_store_watcher.py
@@ -1,4 +1,4 @@
-"""Following the configuration through an outage of the store."""
+"""Tests of watching the store, mostly during and after its outages."""
 
 import gevent
 import pytest
@@ -20,39 +20,45 @@
 from caroblug.utils import ManualClock
 
 
-def configured(version: int) -> Configuration:
+def make_configuration(version: int) -> Configuration:
     return Configuration(version, {}, {}, RequestLimits(), None)
 
 
-def test_configuration_is_read_again_when_the_store_is_back():
-    # Guards against a change that is taken only when a lost wait has ended.
+def test_configuration_is_read_again_when_the_store_recovers():
+    # Guards against a change that is applied only after the timeout of a wait
+    # whose answer was lost.
     context, registry, peers, _ = make_placement()
-    watches = StoreWatcher(context, registry, peers)
+    watcher = StoreWatcher(context, registry, peers)
     reads = []
     registry.read_configuration = lambda: reads.append(1) or Unavailable("")
     registry.read_backends = lambda: Unavailable("silent")
-    watches._read_list()
+    watcher._read_list()
 
     registry.read_backends = lambda: make_listing({}, 2, 0, "")
-    watches._read_list()
+    watcher._read_list()
 
     assert reads
 
 
-def test_wait_that_hangs_is_given_up_when_the_store_is_back():
-    # Guards against a wait on a connection that went silent with the store.
+def test_hanging_wait_is_aborted_when_the_store_recovers():
+    # Guards against a long wait on a connection that went silent during an
+    # outage of the store.
     context, registry, peers, _ = make_placement()
-    watches = StoreWatcher(context, registry, peers)
+    watcher = StoreWatcher(context, registry, peers)
     registry.wait_for_change = lambda end, wait_ms: event.Event().wait()
-    registry.read_configuration = lambda: ConfigurationRead(configured(6), 1)
-    loop = gevent.spawn(watches.run_configuration)
+    registry.read_configuration = lambda: ConfigurationRead(
+        make_configuration(6), 1
+    )
+    loop = gevent.spawn(watcher.run_configuration)
     gevent.idle()
     registry.read_backends = lambda: Unavailable("silent")
-    watches._read_list()
+    watcher._read_list()
 
-    registry.read_configuration = lambda: ConfigurationRead(configured(7), 2)
+    registry.read_configuration = lambda: ConfigurationRead(
+        make_configuration(7), 2
+    )
     registry.read_backends = lambda: make_listing({}, 2, 0, "")
-    watches._read_list()
+    watcher._read_list()
     gevent.idle()
 
     assert context.configuration.version == 7
@@ -60,25 +66,25 @@
 
 
 @pytest.mark.parametrize("gateways", [0, 1, 5, 26, 400])
-def test_some_gateway_waits_anew_every_second_or_each_does_in_some(gateways):
-    # Guards against waits that all hang on silent connections for long.
+def test_waits_of_all_gateways_together_restart_often_enough(gateways):
+    # Guards against all gateways waiting long on connections that went silent.
     context, registry, peers, _ = make_placement()
     context.fleet.loads.gateways = gateways
-    wait_ms = StoreWatcher(context, registry, peers)._wait_ms()
+    wait_ms = StoreWatcher(context, registry, peers)._choose_wait_ms()
 
     assert 3000 <= wait_ms <= 20_000
     assert wait_ms / max(1, gateways) <= 4000
 
 
-def test_store_that_is_away_is_asked_less_and_less_often():
-    # Guards against many paid calls to a store that refuses them all.
+def test_unavailable_store_is_called_less_and_less_often():
+    # Guards against the cost of many calls to a store that rejects all of them.
     context, registry, peers, _ = make_placement()
-    watches = StoreWatcher(context, registry, peers)
+    watcher = StoreWatcher(context, registry, peers)
 
     assert context.configuration is not None
-    pauses = [watches._again_ms(failures) for failures in range(40)]
+    pauses = [watcher._retry_delay_ms(failures) for failures in range(40)]
     context.configuration = None
-    first = [watches._again_ms(failures) for failures in range(40)]
+    first = [watcher._retry_delay_ms(failures) for failures in range(40)]
 
     assert sum(pauses[:7]) >= 9000
     assert max(pauses) <= 2000
@@ -86,165 +92,179 @@
 
 
 @pytest.fixture
-def watched(monkeypatch):
-    """StoreWatcher with short bounds on reads, and what they share."""
-    monkeypatch.setattr(_store_watcher, "_READ_MS", 20)
-    monkeypatch.setattr(_store_watcher, "_BACK_READ_S", 0.02)
-    monkeypatch.setattr(_store_watcher, "_AGAIN_MS", 1)
+def fast_watcher(monkeypatch):
+    """Returns a watcher with short timeouts and the parts that it uses."""
+    monkeypatch.setattr(_store_watcher, "_READ_TIMEOUT_MS", 20)
+    monkeypatch.setattr(_store_watcher, "_RECOVERY_READ_WAIT_S", 0.02)
+    monkeypatch.setattr(_store_watcher, "_RETRY_MS", 1)
     context, registry, peers, _ = make_placement()
     return StoreWatcher(context, registry, peers), context, registry, peers
 
 
 def hang(*args):
-    """Answers never."""
+    """Blocks forever, like a call that gets no answer."""
     event.Event().wait()
 
 
-def loop_of(watches):
-    loop = gevent.spawn(watches.run_configuration)
+def start_loop(watcher):
+    loop = gevent.spawn(watcher.run_configuration)
     gevent.idle()
     return loop
 
 
-def next_configuration(context, version):
-    """Waits until a version is in force; a test that hangs has failed."""
+def wait_for_version(context, version):
+    """Waits until a version is applied; without it the test never ends."""
     while context.configuration.version < version:
         gevent.sleep(0.005)
 
 
-def test_read_that_hangs_is_given_up_and_sent_again(watched):
-    # Guards against a read on a connection that brings no end.
-    watches, context, registry, _ = watched
-    answers = iter([hang, lambda: ConfigurationRead(configured(7), 2)])
+def test_hanging_read_is_aborted_and_repeated(fast_watcher):
+    # Guards against a read on a connection that never delivers its end.
+    watcher, context, registry, _ = fast_watcher
+    answers = iter([hang, lambda: ConfigurationRead(make_configuration(7), 2)])
     registry.read_configuration = lambda: next(answers)()
     registry.wait_for_change = hang
 
-    loop = loop_of(watches)
+    loop = start_loop(watcher)
 
-    next_configuration(context, 7)
+    wait_for_version(context, 7)
     loop.kill()
 
 
-def test_read_that_hangs_is_given_up_when_the_store_is_back(
-    watched, monkeypatch
+def test_hanging_read_is_aborted_when_the_store_recovers(
+    fast_watcher, monkeypatch
 ):
-    # Guards against a read that was sent while the store answered nobody.
-    monkeypatch.setattr(_store_watcher, "_READ_MS", 1_000_000)
-    monkeypatch.setattr(_store_watcher, "_READ_MOST_MS", 1_000_000)
-    watches, context, registry, _ = watched
+    # Guards against a read that was sent while the store gave no answers.
+    monkeypatch.setattr(_store_watcher, "_READ_TIMEOUT_MS", 1_000_000)
+    monkeypatch.setattr(_store_watcher, "_MAX_READ_TIMEOUT_MS", 1_000_000)
+    watcher, context, registry, _ = fast_watcher
     registry.read_configuration = hang
-    loop = loop_of(watches)
+    loop = start_loop(watcher)
     registry.read_backends = lambda: Unavailable("silent")
-    watches._read_list()
+    watcher._read_list()
 
-    registry.read_configuration = lambda: ConfigurationRead(configured(7), 2)
+    registry.read_configuration = lambda: ConfigurationRead(
+        make_configuration(7), 2
+    )
     registry.read_backends = lambda: make_listing({}, 2, 0, "")
-    watches._read_list()
+    watcher._read_list()
 
-    next_configuration(context, 7)
+    wait_for_version(context, 7)
     loop.kill()
 
 
-def test_read_that_hangs_does_not_hold_up_the_list(watched, monkeypatch):
-    # Guards against leaving backend servers that get work while a read hangs.
-    monkeypatch.setattr(_store_watcher, "_READ_MS", 1_000_000)
-    watches, context, registry, _ = watched
+def test_hanging_read_does_not_delay_the_list(fast_watcher, monkeypatch):
+    # Guards against requests to leaving backend servers while a read of the
+    # configuration hangs.
+    monkeypatch.setattr(_store_watcher, "_READ_TIMEOUT_MS", 1_000_000)
+    watcher, context, registry, _ = fast_watcher
     registry.read_configuration = hang
     registry.read_backends = lambda: Unavailable("silent")
-    watches._read_list()
+    watcher._read_list()
     registry.read_backends = lambda: make_listing({}, 2, 0, "")
 
-    assert watches._read_list()
+    assert watcher._read_list()
     assert context.fleet.has_listing
 
 
-def test_list_that_hangs_counts_as_unavailable(watched):
-    # Guards against a list that grows old behind one read without an end.
-    watches, _, registry, _ = watched
+def test_hanging_read_of_the_list_counts_as_failed(fast_watcher):
+    # Guards against an outdated list because of one read that never ends.
+    watcher, _, registry, _ = fast_watcher
     registry.read_backends = hang
 
-    assert not watches._read_list()
+    assert not watcher._read_list()
 
 
-def test_list_that_a_slow_link_brings_late_is_read_in_the_end(watched):
-    # Guards against a list that is cut off by its bound each time.
-    watches, _, registry, _ = watched
+def test_list_is_read_in_the_end_over_a_slow_link(fast_watcher):
+    # Guards against a read of the list that exceeds its timeout each time.
+    watcher, _, registry, _ = fast_watcher
 
-    def slow_list():
+    def slow_read():
         gevent.sleep(0.1)
         return make_listing({}, 2, 0, "")
 
-    registry.read_backends = slow_list
+    registry.read_backends = slow_read
 
-    assert any(watches._read_list() for _ in range(6))
+    assert any(watcher._read_list() for _ in range(6))
 
 
-def test_wait_that_outlasts_its_time_is_given_up(watched, monkeypatch):
-    # Guards against a wait that brings bytes now and then, but no end.
-    monkeypatch.setattr(_store_watcher, "_FIRST_WAIT_MS", 1)
+def test_wait_that_exceeds_its_duration_is_aborted(fast_watcher, monkeypatch):
+    # Guards against a wait that receives bytes occasionally but never ends.
+    monkeypatch.setattr(_store_watcher, "_FIRST_READER_WAIT_MS", 1)
     monkeypatch.setattr(_store_watcher, "_WAIT_SLACK_MS", 20)
-    watches, context, registry, _ = watched
+    watcher, context, registry, _ = fast_watcher
     versions = iter([6, 7])
     registry.read_configuration = lambda: ConfigurationRead(
-        configured(next(versions)), 1
+        make_configuration(next(versions)), 1
     )
     registry.wait_for_change = hang
 
-    loop = loop_of(watches)
+    loop = start_loop(watcher)
 
-    next_configuration(context, 7)
+    wait_for_version(context, 7)
     loop.kill()
 
 
-def test_reads_that_fail_in_a_row_get_more_time():
-    # Guards against a large configuration that a slow link never brings whole.
-    bounds = [_store_watcher._read_bound_ms(failures) for failures in range(6)]
+def test_timeout_grows_with_consecutive_failures():
+    # Guards against a large configuration that never arrives completely over a
+    # slow link.
+    timeouts = [
+        _store_watcher._read_timeout_ms(failures) for failures in range(6)
+    ]
 
-    assert bounds == sorted(bounds)
-    assert bounds[-1] >= 10_000
+    assert timeouts == sorted(timeouts)
+    assert timeouts[-1] >= 10_000
 
 
 @pytest.mark.parametrize("gateways", [5, 26, 400])
-def test_first_of_a_data_centre_waits_anew_within_seconds(gateways):
-    # Guards against waits begun together, with a change, that all go silent.
+def test_first_reader_restarts_its_wait_within_seconds(gateways):
+    # Guards against waits that all began with the same change and whose
+    # connections all went silent.
     context, registry, peers, _ = make_placement("g1")
     context.fleet.loads.gateways = gateways
     for index in range(2, 9):
         receive_peer_state(peers, f"g{index}", LeaseState.NONE)
 
-    assert StoreWatcher(context, registry, peers)._wait_ms() <= 3000
+    assert StoreWatcher(context, registry, peers)._choose_wait_ms() <= 3000
 
 
 @pytest.mark.parametrize("gateways", [5, 26, 400])
-def test_others_of_a_data_centre_wait_longer_the_more_they_are(gateways):
-    # Guards against paid waits that grow with the number of gateways.
+def test_waits_of_other_gateways_grow_with_their_number(gateways):
+    # Guards against a cost of waits that grows with the number of gateways.
     context, registry, peers, _ = make_placement("g2")
     context.fleet.loads.gateways = gateways
     receive_peer_state(peers, "g1", LeaseState.NONE)
-    wait_ms = StoreWatcher(context, registry, peers)._wait_ms()
+    wait_ms = StoreWatcher(context, registry, peers)._choose_wait_ms()
 
     assert 3000 <= wait_ms <= 20_000
     assert wait_ms >= min(15_000, 750 * gateways)
     assert wait_ms / gateways <= 4000
 
 
-def test_gateway_that_becomes_the_first_gives_a_long_wait_up(watched):
-    # Guards against the end of the gateway that found changes for the others.
+def test_gateway_that_becomes_the_first_reader_restarts_a_long_wait(
+    fast_watcher,
+):
+    # Guards against the failure of the first reader, whose short waits find
+    # changes for the other gateways.
     clock = ManualClock(100_000)
     context, registry, peers, _ = make_placement("g2", clock)
-    watches = StoreWatcher(context, registry, peers)
+    watcher = StoreWatcher(context, registry, peers)
     receive_peer_state(peers, "g1", LeaseState.NONE)
-    registry.read_configuration = lambda: ConfigurationRead(configured(6), 1)
+    registry.read_configuration = lambda: ConfigurationRead(
+        make_configuration(6), 1
+    )
     registry.wait_for_change = hang
-    loop = loop_of(watches)
+    loop = start_loop(watcher)
     clock.advance(4800)
-    watches._renew_wait()
+    watcher._restart_long_wait()
     gevent.idle()
     assert context.configuration.version == 6
 
     receive_peer_state(peers, "g1", LeaseState.LEAVING)
-    registry.read_configuration = lambda: ConfigurationRead(configured(7), 2)
-    watches._renew_wait()
+    registry.read_configuration = lambda: ConfigurationRead(
+        make_configuration(7), 2
+    )
+    watcher._restart_long_wait()
 
-    next_configuration(context, 7)
+    wait_for_version(context, 7)
     loop.kill()
