--- a/caroblug/entry/_admission.py
+++ b/caroblug/entry/_admission.py
@@ -9,16 +9,16 @@
     Ticket,
 )
 from caroblug.core.state import Bundle, ClientAccount, Sharing
-from caroblug.entry._loads import EngineLoads
+from caroblug.entry._quarantine import QuarantineClient
 from caroblug.entry._shares import ShareClient
 from caroblug.entry._streams import StreamRequest
-from caroblug.entry._suspects import SuspectClient
+from caroblug.entry._wait_estimator import WaitEstimator
 from caroblug.utils import Ran, RefusalType, Refused
 
 _RETRY_AFTER_MS = 1000
-_RETRY_MINUTE_MS = 10_000
-_MANY = 1_000_000
-_SPARE = 1.5
+_TOKENS_RETRY_AFTER_MS = 10_000
+_UNBOUNDED_STREAMS = 1_000_000
+_HEADROOM_FACTOR = 1.5
 
 
 class Permit:
@@ -49,7 +49,7 @@
         """Lets equal requests run: this one has run its whole prompt."""
         if not self._proved:
             self._proved = True
-            self._admission.leave_line(self, proved=True)
+            self._admission.leave_run_gate(self, proved=True)
 
     def close(self, generated: int) -> None:
         """Gives everything back; twice does nothing.
@@ -61,8 +61,8 @@
             return
         self._closed = True
         if not self._proved:
-            self._admission.leave_line(self, proved=False)
-        self._admission.give_back(self, generated)
+            self._admission.leave_run_gate(self, proved=False)
+        self._admission.release_permit(self, generated)
 
 
 class StreamAdmission:
@@ -78,16 +78,16 @@
 
     def __init__(
         self,
-        places: ConcurrencyLimiter,
+        stream_slots: ConcurrencyLimiter,
         shares: ShareClient,
-        suspects: SuspectClient,
-        loads: EngineLoads,
+        quarantine: QuarantineClient,
+        wait_estimator: WaitEstimator,
         retry_after: RetryAfter,
     ) -> None:
-        self._places = places
+        self._stream_slots = stream_slots
         self._shares = shares
-        self._suspects = suspects
-        self._loads = loads
+        self._quarantine = quarantine
+        self._wait_estimator = wait_estimator
         self._retry_after = retry_after
 
     def admit(self, request: StreamRequest, bundle: Bundle) -> Permit | Refused:
@@ -97,40 +97,40 @@
             request: The request.
             bundle: The bundle in force.
         """
-        quarantined = self._suspects.refusal(request.fingerprint, Ran.NO)
+        quarantined = self._quarantine.refusal(request.fingerprint, Ran.NO)
         if quarantined is not None:
             return quarantined
         overloaded = self._check_load(request, bundle)
         if overloaded is not None:
             return overloaded
         account = bundle.client_accounts[request.client_account]
-        refused = self._take(request, account, bundle.sharing)
+        refused = self._reserve(request, account, bundle.sharing)
         if refused is not None:
             return refused
-        return self._enter_line(request, account, bundle.sharing)
+        return self._enter_run_gate(request, account, bundle.sharing)
 
     def on_open(self, instances: tuple[str, ...]) -> None:
         """Counts a stream that was opened at some engines."""
-        self._loads.on_open(instances)
+        self._wait_estimator.on_open(instances)
 
-    def leave_line(self, permit: Permit, *, proved: bool) -> None:
+    def leave_run_gate(self, permit: Permit, *, proved: bool) -> None:
         """Lets requests that are equal to this one run."""
         request = permit.request
-        self._suspects.leave(
+        self._quarantine.leave(
             request.fingerprint,
             request.client_account,
             permit.ticket,
             proved=proved,
         )
 
-    def give_back(self, permit: Permit, generated: int) -> None:
+    def release_permit(self, permit: Permit, generated: int) -> None:
         """Gives back a place, and the tokens that were not generated."""
         request = permit.request
         unused = request.max_tokens - generated
-        self._shares.give_back(
+        self._shares.release_stream(
             request.client_account, permit.sharing.generated_weight * unused
         )
-        self._places.release()
+        self._stream_slots.release()
 
     def _check_load(
         self, request: StreamRequest, bundle: Bundle
@@ -142,25 +142,32 @@
         that the goodput falls as more is offered. An account with few
         streams finds a spare part that those with many can't fill.
         """
-        held = self._shares.total_streams(request.client_account)
-        wait_ms = self._loads.wait_ms(request.model, request.layers, held)
+        account_streams = self._shares.total_streams(request.client_account)
+        wait_ms = self._wait_estimator.wait_ms(
+            request.model, request.layers, account_streams
+        )
         late = wait_ms * request.max_tokens > request.deadline_ms
-        most_ms = bundle.limits.queue_ms
-        full_ms = self._loads.wait_ms(request.model, request.layers, _MANY)
-        full = wait_ms > most_ms or full_ms > _SPARE * most_ms
-        if not full and not late:
+        max_wait_ms = bundle.limits.queue_ms
+        uncapped_wait_ms = self._wait_estimator.wait_ms(
+            request.model, request.layers, _UNBOUNDED_STREAMS
+        )
+        overloaded = (
+            wait_ms > max_wait_ms
+            or uncapped_wait_ms > _HEADROOM_FACTOR * max_wait_ms
+        )
+        if not overloaded and not late:
             return None
         return self._refuse(RefusalType.OVERLOADED, "the engines are full")
 
-    def _take(
+    def _reserve(
         self, request: StreamRequest, account: ClientAccount, sharing: Sharing
     ) -> Refused | None:
         name = request.client_account
-        if not self._places.take():
+        if not self._stream_slots.take():
             return self._refuse(RefusalType.OVERLOADED, "this instance is full")
-        rule = rule_of(account)
-        if not self._shares.take(name, rule):
-            self._places.release()
+        rule = make_account_rule(account)
+        if not self._shares.acquire_stream(name, rule):
+            self._stream_slots.release()
             return self._refuse(
                 RefusalType.LIMIT_REACHED,
                 f"the account's {account.streams} streams are open already",
@@ -169,32 +176,32 @@
             sharing.prompt_weight * len(request.prompt)
             + sharing.generated_weight * request.max_tokens
         )
-        if not self._shares.spend(name, rule, cost):
-            self._shares.give_back(name, 0.0)
-            self._places.release()
+        if not self._shares.spend_tokens(name, rule, cost):
+            self._shares.release_stream(name, 0.0)
+            self._stream_slots.release()
             return self._refuse(
                 RefusalType.LIMIT_REACHED,
                 "the account's tokens for this minute are used",
-                _RETRY_MINUTE_MS,
+                _TOKENS_RETRY_AFTER_MS,
             )
         return None
 
-    def _enter_line(
+    def _enter_run_gate(
         self, request: StreamRequest, account: ClientAccount, sharing: Sharing
     ) -> Permit | Refused:
         name = request.client_account
-        ticket = self._suspects.enter(
+        ticket = self._quarantine.enter(
             request.fingerprint, name, request.deadline_ms
         )
         weight = self._shares.stream_weight(name, account.weight)
-        weighed = attrs.evolve(
+        weighted = attrs.evolve(
             request, weight=weight, account_weight=account.weight
         )
         if isinstance(ticket, Refused):
-            unused = Permit(self, weighed, sharing, Ticket("", 0))
+            unused = Permit(self, weighted, sharing, Ticket("", 0))
             unused.close(generated=0)
             return ticket
-        return Permit(self, weighed, sharing, ticket)
+        return Permit(self, weighted, sharing, ticket)
 
     def _refuse(
         self, kind: RefusalType, message: str, mean_ms: int = _RETRY_AFTER_MS
@@ -204,6 +211,6 @@
         )
 
 
-def rule_of(account: ClientAccount) -> AccountRule:
+def make_account_rule(account: ClientAccount) -> AccountRule:
     """Returns what an account may use, as the bundle says."""
     return AccountRule(account.streams, account.tokens_per_minute)
--- a/caroblug/entry/_api.py
+++ b/caroblug/entry/_api.py
@@ -6,51 +6,51 @@
 import falcon
 
 from caroblug.entry._admission import StreamAdmission
-from caroblug.entry._completions import Completions
-from caroblug.entry._door import Door
-from caroblug.entry._models import Models
-from caroblug.entry._plain import PlainClient
+from caroblug.entry._completions import CompletionsResource
+from caroblug.entry._models import ModelsResource
+from caroblug.entry._plain_service_client import PlainServiceClient
 from caroblug.entry._refusals import write_refusal
-from caroblug.entry._services import Services
+from caroblug.entry._request_guard import RequestGuard
+from caroblug.entry._services import ServicesSink
 from caroblug.entry._streams import EntryStreams
 from caroblug.utils import Clock, Metrics, Ran, RefusalType, Refused
 
-_EXIT_BROKEN = 70
+_EXIT_INVARIANT_BROKEN = 70
 
 
 def make_app(
-    door: Door,
+    guard: RequestGuard,
     streams: EntryStreams,
-    plain: PlainClient,
+    service_client: PlainServiceClient,
     admission: StreamAdmission,
     clock: Clock,
     metrics: Metrics,
 ) -> falcon.App:
     """Returns the application that serves callers."""
     app = falcon.App()
-    app.add_error_handler(Exception, _broken)
-    app.add_error_handler(falcon.HTTPNotFound, _not_found)
+    app.add_error_handler(Exception, _handle_exception)
+    app.add_error_handler(falcon.HTTPNotFound, _handle_not_found)
     for path, chat in (
         ("/v1/chat/completions", True),
         ("/v1/completions", False),
     ):
-        resource = Completions(
-            door, streams, admission, clock, metrics, chat=chat
+        resource = CompletionsResource(
+            guard, streams, admission, clock, metrics, chat=chat
         )
         app.add_route(path, resource)
-    app.add_route("/v1/models", Models(door))
-    services = Services(door, plain, clock, metrics)
+    app.add_route("/v1/models", ModelsResource(guard))
+    services = ServicesSink(guard, service_client, clock, metrics)
     app.add_sink(services, r"/services/(?P<name>[^/]+)(/(?P<path>.*))?")
     return app
 
 
-def _not_found(request, response, error, params) -> None:
+def _handle_not_found(request, response, error, params) -> None:
     del request, error, params
     refused = Refused(RefusalType.NOT_FOUND, "no such path")
     write_refusal(response, refused)
 
 
-def _broken(request, response, error, params) -> None:
+def _handle_exception(request, response, error, params) -> None:
     """Stops the process on a broken invariant, whose trace is logged.
 
     Guards against falcon's own handler, which hides what was raised behind a
@@ -59,7 +59,7 @@
     del request, params
     traceback.print_exception(error)
     if isinstance(error, AssertionError):
-        os._exit(_EXIT_BROKEN)
+        os._exit(_EXIT_INVARIANT_BROKEN)
     refused = Refused(
         RefusalType.BACKEND_FAILED, "the request failed here", Ran.UNKNOWN
     )
--- a/caroblug/entry/_accounts.py
+++ b/caroblug/entry/_authentication.py
@@ -3,8 +3,8 @@
 from caroblug.core.state import Bundle, key_matches, split_key
 from caroblug.utils import RefusalType, Refused
 
-_BEARER = "Bearer "
-_REFUSED = Refused(RefusalType.UNAUTHENTICATED, "the key is not known")
+_BEARER_PREFIX = "Bearer "
+_UNKNOWN_KEY = Refused(RefusalType.UNAUTHENTICATED, "the key is not known")
 
 
 def authenticate(bundle: Bundle, authorization: str | None) -> str | Refused:
@@ -14,15 +14,15 @@
         bundle: The bundle in force.
         authorization: The `Authorization` header.
     """
-    if not authorization or not authorization.startswith(_BEARER):
+    if not authorization or not authorization.startswith(_BEARER_PREFIX):
         return Refused(
             RefusalType.UNAUTHENTICATED, "a bearer key must be given"
         )
-    key = authorization[len(_BEARER) :].strip()
+    key = authorization[len(_BEARER_PREFIX) :].strip()
     account = split_key(key)
     rule = bundle.client_accounts.get(account)
     if rule is None:
-        return _REFUSED
+        return _UNKNOWN_KEY
     if any(key_matches(key, key_hash) for key_hash in rule.key_hashes):
         return account
-    return _REFUSED
+    return _UNKNOWN_KEY
--- a/caroblug/entry/_chains.py
+++ b/caroblug/entry/_chain_picker.py
@@ -12,12 +12,12 @@
     Stage,
     check_deadline,
 )
-from caroblug.entry._directory import Directory
+from caroblug.entry._directory import SideDirectory
 from caroblug.entry._stream_request import StreamRequest
 from caroblug.utils import Clock, Ran, RefusalType, Refused
 
-_BROKEN_MS = 5000
-_CHOICES = 4
+_BROKEN_LINK_RETRY_MS = 5000
+_MAX_CHOICES = 4
 
 
 class ChainPicker:
@@ -33,7 +33,7 @@
 
     def __init__(
         self,
-        directory: Directory,
+        directory: SideDirectory,
         chooser: ChainChooser,
         latencies: LatencyTable,
         clock: Clock,
@@ -44,7 +44,7 @@
         self._latencies = latencies
         self._clock = clock
         self._data_centre = data_centre
-        self._broken: dict[tuple[str, str], int] = {}
+        self._broken_links: dict[tuple[str, str], int] = {}
 
     def on_broken_link(self, sender: str, receiver: str) -> None:
         """Notes that one side process cannot reach another.
@@ -54,21 +54,21 @@
         link is tried again after a while.
         """
         now_ms = self._clock.now_ms()
-        self._broken = {
+        self._broken_links = {
             link: end_ms
-            for link, end_ms in self._broken.items()
+            for link, end_ms in self._broken_links.items()
             if end_ms > now_ms
         }
-        self._broken[sender, receiver] = now_ms + _BROKEN_MS
+        self._broken_links[sender, receiver] = now_ms + _BROKEN_LINK_RETRY_MS
 
     def on_peer_lost(self, instance: str) -> None:
         """Forgets the broken links of an instance that is itself lost.
 
         It may come back at any moment, and its links were not to blame.
         """
-        self._broken = {
+        self._broken_links = {
             link: end_ms
-            for link, end_ms in self._broken.items()
+            for link, end_ms in self._broken_links.items()
             if instance not in link
         }
 
@@ -81,54 +81,54 @@
         healed.
         """
         engines = self._directory.engines(request.model)
-        avoided = set(excluded)
+        skipped = set(excluded)
 
         def _choose(*also: str) -> Chain | None:
             return self._chooser.choose(
                 engines,
                 request.layers,
                 self._data_centre,
-                avoided | set(also),
+                skipped | set(also),
                 request.prompt,
             )
 
         first = chain = _choose()
-        for _ in range(_CHOICES):
+        for _ in range(_MAX_CHOICES):
             if chain is None:
                 return first
-            link = self._broken_link(chain)
+            link = self._find_broken_link(chain)
             if link is None:
                 return chain
             sender, receiver = link
             chain = _choose(receiver)
-            avoided.add(receiver if chain is not None else sender)
+            skipped.add(receiver if chain is not None else sender)
             chain = chain or _choose()
         return first
 
-    def refuse_late(
+    def refuse_unmeetable_deadline(
         self, chain: Chain, request: StreamRequest
     ) -> Refused | None:
         """Refuses a new request whose deadline can't be met."""
-        views = self._directory.views(chain)
+        views = self._directory.chain_engines(chain)
         if len(views) < len(chain.stages):
             return None
-        late = check_deadline(
+        missed = check_deadline(
             views,
             self._latencies,
             len(request.prompt),
             request.max_tokens,
             request.deadline_ms,
         )
-        if late is None:
+        if missed is None:
             return None
         return Refused(
             RefusalType.DEADLINE_EXCEEDED,
             "the deadline can't be met at the present load",
             Ran.NO,
-            late.retry_after_ms,
+            missed.retry_after_ms,
         )
 
-    def replace(
+    def replace_stages(
         self, chain: Chain, model: str, excluded: Collection[str]
     ) -> Chain | None:
         """Returns the chain with only its excluded stages replaced.
@@ -137,22 +137,26 @@
         layer that still lives is run twice for a position.
         """
         engines = self._directory.engines(model)
-        places = {engine.instance: engine.data_centre for engine in engines}
+        data_centres = {
+            engine.instance: engine.data_centre for engine in engines
+        }
         stages: list[Stage] = []
         for index, stage in enumerate(chain.stages):
             if stage.instance not in excluded:
                 stages.append(stage)
                 continue
-            beside = _neighbours(chain, stages, index)
+            neighbours = _neighbours(chain, stages, index)
             best = min(
                 (
                     engine
                     for engine in engines
-                    if self._fits(engine, stage, beside)
+                    if self._can_replace(engine, stage, neighbours)
                     and engine.instance not in excluded
                     and engine.instance not in chain.instances
                 ),
-                key=lambda e, b=beside: _cost(e, [places.get(i) for i in b]),
+                key=lambda e, b=neighbours: _replacement_cost(
+                    e, [data_centres.get(i) for i in b]
+                ),
                 default=None,
             )
             if best is None:
@@ -166,35 +170,35 @@
                 )
             )
         replaced = Chain(tuple(stages))
-        return None if self._broken_link(replaced) else replaced
+        return None if self._find_broken_link(replaced) else replaced
 
-    def _fits(
-        self, engine: EngineView, stage: Stage, beside: list[str]
+    def _can_replace(
+        self, engine: EngineView, stage: Stage, neighbours: list[str]
     ) -> bool:
         """Tells whether an engine can stand in for a stage.
 
         `beside` names the stages before and after it, empty if there is
         none or it is to be replaced too.
         """
-        before, after = beside
+        before, after = neighbours
         return (
             not engine.leaving
             and engine.first_layer <= stage.first_layer
             and engine.end_layer >= stage.end_layer
-            and not self._is_broken(before, engine.instance)
-            and not self._is_broken(engine.instance, after)
+            and not self._is_link_broken(before, engine.instance)
+            and not self._is_link_broken(engine.instance, after)
         )
 
-    def _broken_link(self, chain: Chain) -> tuple[str, str] | None:
+    def _find_broken_link(self, chain: Chain) -> tuple[str, str] | None:
         names = chain.instances
         links = [*zip(names, names[1:], strict=False), (names[-1], names[0])]
         for sender, receiver in links:
-            if self._is_broken(sender, receiver):
+            if self._is_link_broken(sender, receiver):
                 return sender, receiver
         return None
 
-    def _is_broken(self, sender: str, receiver: str) -> bool:
-        end_ms = self._broken.get((sender, receiver))
+    def _is_link_broken(self, sender: str, receiver: str) -> bool:
+        end_ms = self._broken_links.get((sender, receiver))
         return end_ms is not None and end_ms > self._clock.now_ms()
 
 
@@ -206,8 +210,12 @@
     return [before, after]
 
 
-def _cost(engine: EngineView, beside: list[str | None]) -> tuple[int, float]:
+def _replacement_cost(
+    engine: EngineView, neighbours: list[str | None]
+) -> tuple[int, float]:
     """Ranks stand-ins: near the stages beside them, then by wait."""
-    far = sum(place not in (None, engine.data_centre) for place in beside)
-    work = engine.waiting + engine.running + engine.own_streams
-    return far, (1 + work) / engine.tokens_per_s
+    remote_neighbours = sum(
+        neighbour not in (None, engine.data_centre) for neighbour in neighbours
+    )
+    load = engine.waiting + engine.running + engine.own_streams
+    return remote_neighbours, (1 + load) / engine.tokens_per_s
--- a/caroblug/entry/_completions.py
+++ b/caroblug/entry/_completions.py
@@ -9,20 +9,20 @@
 
 from caroblug.core.state import Bundle
 from caroblug.entry._admission import Permit, StreamAdmission
-from caroblug.entry._door import Door
-from caroblug.entry._feed import Feed
 from caroblug.entry._refusals import refusal_body, write_refusal
+from caroblug.entry._request_guard import RequestGuard
 from caroblug.entry._requests import (
     Completion,
     make_stream_request,
     parse_completion,
 )
-from caroblug.entry._shapes import (
-    ChatShape,
-    Shape,
-    TextShape,
+from caroblug.entry._response_formats import (
+    ChatFormat,
+    ResponseFormat,
+    TextFormat,
     make_chunk_template,
 )
+from caroblug.entry._stream_reader import StreamReader
 from caroblug.entry._streams import EntryStreams, RunningStream
 from caroblug.entry._tokenizer import Tokenizer, make_tokenizer
 from caroblug.utils import CALLERS_OWN, Clock, Metrics, Refused
@@ -32,19 +32,19 @@
 
 
 @attrs.frozen
-class _Asked:
+class _ParsedRequest:
     """A request body that was read and parsed."""
 
     completion: Completion
     body_bytes: int
 
 
-class Completions:
+class CompletionsResource:
     """`POST /v1/chat/completions` and `POST /v1/completions`."""
 
     def __init__(
         self,
-        door: Door,
+        guard: RequestGuard,
         streams: EntryStreams,
         admission: StreamAdmission,
         clock: Clock,
@@ -52,66 +52,68 @@
         *,
         chat: bool,
     ) -> None:
-        self._door = door
+        self._guard = guard
         self._streams = streams
         self._admission = admission
         self._clock = clock
         self._metrics = metrics
-        self._shape = ChatShape() if chat else TextShape()
+        self._format = ChatFormat() if chat else TextFormat()
 
     def on_post(
         self, request: falcon.Request, response: falcon.Response
     ) -> None:
         """Answers a completion, whole or streamed."""
-        since_ms = self._clock.now_ms()
-        entered = self._door.enter(request)
-        if isinstance(entered, Refused):
-            self._refuse(response, entered, "none")
+        received_ms = self._clock.now_ms()
+        checked = self._guard.authenticate_request(request)
+        if isinstance(checked, Refused):
+            self._refuse(response, checked, "none")
             return
-        head, account = entered
+        head, account = checked
         group = head.bundle.client_accounts[account].group
-        asked = self._read(request, head.bundle)
-        if isinstance(asked, Refused):
-            self._refuse(response, asked, group)
+        parsed = self._parse(request, head.bundle)
+        if isinstance(parsed, Refused):
+            self._refuse(response, parsed, group)
             return
-        completion = asked.completion
-        begun = self._begin(asked, head.bundle, account)
-        if isinstance(begun, Refused):
-            self._refuse(response, begun, group)
-            self._count_refused(completion, head.bundle, account, begun)
+        completion = parsed.completion
+        started = self._start_stream(parsed, head.bundle, account)
+        if isinstance(started, Refused):
+            self._refuse(response, started, group)
+            self._count_refused(completion, head.bundle, account, started)
             return
-        stream, permit = begun
+        stream, permit = started
         tokenizer = make_tokenizer(
             head.bundle.models[completion.model].vocabulary
         )
-        feed = Feed(stream, self._streams, permit, self._clock, self._metrics)
-        feed.begin(since_ms, group)
+        reader = StreamReader(
+            stream, self._streams, permit, self._clock, self._metrics
+        )
+        reader.start_timing(received_ms, group)
         if completion.stream:
             response.content_type = _SSE_TYPE
-            response.stream = SseStream(feed, self._shape, tokenizer)
+            response.stream = SseStream(reader, self._format, tokenizer)
             return
-        self._answer_whole(response, feed, tokenizer, group)
+        self._write_response(response, reader, tokenizer, group)
 
-    def _read(
+    def _parse(
         self, request: falcon.Request, bundle: Bundle
-    ) -> _Asked | Refused:
-        body = self._door.read_body(request, bundle.limits.body_bytes)
+    ) -> _ParsedRequest | Refused:
+        body = self._guard.read_body(request, bundle.limits.body_bytes)
         if isinstance(body, Refused):
             return body
         completion = parse_completion(body)
         if isinstance(completion, Refused):
             return completion
-        return _Asked(completion, len(body))
+        return _ParsedRequest(completion, len(body))
 
-    def _begin(
-        self, asked: _Asked, bundle: Bundle, account: str
+    def _start_stream(
+        self, parsed: _ParsedRequest, bundle: Bundle, account: str
     ) -> tuple[RunningStream, Permit] | Refused:
-        wanted = make_stream_request(
-            asked.completion, bundle, account, asked.body_bytes
+        stream_request = make_stream_request(
+            parsed.completion, bundle, account, parsed.body_bytes
         )
-        if isinstance(wanted, Refused):
-            return wanted
-        permit = self._admission.admit(wanted, bundle)
+        if isinstance(stream_request, Refused):
+            return stream_request
+        permit = self._admission.admit(stream_request, bundle)
         if isinstance(permit, Refused):
             return permit
         stream = self._streams.start(permit.request)
@@ -122,20 +124,22 @@
         self._admission.on_open(stream.chain.instances)
         return stream, permit
 
-    def _answer_whole(
+    def _write_response(
         self,
         response: falcon.Response,
-        feed: Feed,
+        reader: StreamReader,
         tokenizer: Tokenizer,
         group: str,
     ) -> None:
         tokens: list[int] = []
-        for part in feed:
-            if isinstance(part, Refused):
-                self._refuse(response, part, group)
+        for item in reader:
+            if isinstance(item, Refused):
+                self._refuse(response, item, group)
                 return
-            tokens.extend(part)
-        response.media = self._shape.whole(feed.stream, tokenizer, tokens)
+            tokens.extend(item)
+        response.media = self._format.format_response(
+            reader.stream, tokenizer, tokens
+        )
 
     def _count_refused(
         self,
@@ -170,9 +174,14 @@
     byte, which a plain generator would not notice.
     """
 
-    def __init__(self, feed: Feed, shape: Shape, tokenizer: Tokenizer) -> None:
-        self._feed = feed
-        self._shape = shape
+    def __init__(
+        self,
+        reader: StreamReader,
+        response_format: ResponseFormat,
+        tokenizer: Tokenizer,
+    ) -> None:
+        self._reader = reader
+        self._format = response_format
         self._tokenizer = tokenizer
         self._events = self._make_events()
 
@@ -182,19 +191,21 @@
     def close(self) -> None:
         """Ends the stream at every stage."""
         self._events.close()
-        self._feed.close()
+        self._reader.close()
 
     def _make_events(self) -> Iterator[bytes]:
-        template = make_chunk_template(self._shape, self._feed.stream)
+        template = make_chunk_template(self._format, self._reader.stream)
         decode = self._tokenizer.decode
-        for part in self._feed:
-            if isinstance(part, Refused):
-                yield _event(refusal_body(part))
+        for item in self._reader:
+            if isinstance(item, Refused):
+                yield _format_event(refusal_body(item))
                 return
-            yield template.event(decode(part))
-        yield _event(self._shape.chunk(self._feed.stream, "", "length"))
+            yield template.event(decode(item))
+        yield _format_event(
+            self._format.format_chunk(self._reader.stream, "", "length")
+        )
         yield _SSE_DONE
 
 
-def _event(body: dict[str, Any]) -> bytes:
+def _format_event(body: dict[str, Any]) -> bytes:
     return b"data: " + orjson.dumps(body) + b"\n\n"
--- a/caroblug/entry/_directory.py
+++ b/caroblug/entry/_directory.py
@@ -5,14 +5,14 @@
 import attrs
 
 from caroblug.core.routing import Chain, EngineView
-from caroblug.entry._report_age import trusted_until_ms
+from caroblug.entry._report_expiry import report_expiry_ms
 from caroblug.gen.wire import ttypes as wire
 from caroblug.transport import PeerAddress
 from caroblug.utils import Clock
 
 
 @attrs.define
-class PlainView:
+class PlainServiceView:
     """What the entry knows of one plain service's side process."""
 
     address: PeerAddress
@@ -21,7 +21,7 @@
     leaving: bool
 
 
-class Directory:
+class SideDirectory:
     """Engines and plain services that are connected and have reported.
 
     Args:
@@ -33,24 +33,24 @@
         self._clock = clock
         self._report_age_ms = report_age_ms
         self._engines: dict[str, EngineView] = {}
-        self._plain: dict[str, PlainView] = {}
+        self._plain_services: dict[str, PlainServiceView] = {}
         self._listed_leaving: frozenset[str] = frozenset()
-        self._trusted_ms: dict[str, int] = {}
+        self._expires_ms: dict[str, int] = {}
 
     def __len__(self) -> int:
-        return len(self._engines) + len(self._plain)
+        return len(self._engines) + len(self._plain_services)
 
     def on_report(self, report: wire.LoadReport) -> None:
         """Takes a load report."""
         leaving = report.leaving or report.instance in self._listed_leaving
-        self._trusted_ms[report.instance] = trusted_until_ms(
+        self._expires_ms[report.instance] = report_expiry_ms(
             report, self._clock.now_ms(), self._report_age_ms
         )
         if report.end_layer:
-            self._on_engine(report, leaving)
+            self._update_engine(report, leaving)
         elif report.target:
             address = PeerAddress(report.instance, report.host, report.port)
-            self._plain[report.instance] = PlainView(
+            self._plain_services[report.instance] = PlainServiceView(
                 address, report.target, report.running or 0, leaving
             )
         elif report.instance in self._engines:
@@ -64,15 +64,15 @@
         """
         self._listed_leaving = frozenset(leaving)
         for instance in self._listed_leaving:
-            for view in (self._engines, self._plain):
+            for view in (self._engines, self._plain_services):
                 if instance in view:
                     view[instance].leaving = True
 
-    def forget(self, instance: str) -> None:
+    def remove(self, instance: str) -> None:
         """Drops an instance whose connection is lost."""
         self._engines.pop(instance, None)
-        self._plain.pop(instance, None)
-        self._trusted_ms.pop(instance, None)
+        self._plain_services.pop(instance, None)
+        self._expires_ms.pop(instance, None)
 
     def engines(self, model: str) -> list[EngineView]:
         """Returns the engines of a model with a report young enough."""
@@ -82,17 +82,17 @@
             if engine.model == model and self._is_fresh(engine.instance)
         ]
 
-    def plain(self, service: str) -> list[PlainView]:
+    def plain_services(self, service: str) -> list[PlainServiceView]:
         """Returns the side processes of a plain service that take calls."""
         return [
             view
-            for view in self._plain.values()
+            for view in self._plain_services.values()
             if view.service == service
             and not view.leaving
             and self._is_fresh(view.address.instance)
         ]
 
-    def views(self, chain: Chain) -> list[EngineView]:
+    def chain_engines(self, chain: Chain) -> list[EngineView]:
         """Returns the engines of a chain that are known, in order."""
         return [
             self._engines[instance]
@@ -113,10 +113,10 @@
                 engine.own_streams = max(0, engine.own_streams + change)
 
     def _is_fresh(self, instance: str) -> bool:
-        return self._clock.now_ms() <= self._trusted_ms[instance]
+        return self._clock.now_ms() <= self._expires_ms[instance]
 
-    def _on_engine(self, report: wire.LoadReport, leaving: bool) -> None:
-        known = self._engines.get(report.instance)
+    def _update_engine(self, report: wire.LoadReport, leaving: bool) -> None:
+        previous = self._engines.get(report.instance)
         self._engines[report.instance] = EngineView(
             report.instance,
             report.host,
@@ -129,8 +129,8 @@
             report.waiting,
             report.running,
             leaving,
-            known.own_streams if known else 0,
+            previous.own_streams if previous else 0,
             report.streams or 0,
             report.backlog or 0,
-            known.own_streams if known else 0,
+            previous.own_streams if previous else 0,
         )
--- a/caroblug/entry/_links.py
+++ b/caroblug/entry/_latency_prober.py
@@ -7,10 +7,10 @@
 from caroblug.transport import PeerAddress, PeerNetwork
 from caroblug.utils import Clock
 
-_KEPT = 5
+_MAX_SAMPLES = 5
 
 
-class LinkProber:
+class LatencyProber:
     """Asks one peer in each other data centre how long its answer takes.
 
     The least of the last few round trips counts: what a busy process adds
@@ -34,8 +34,8 @@
         self._network = network
         self._latencies = latencies
         self._clock = clock
-        self._round_trips: dict[str, collections.deque[int]] = {}
-        self._asked = 0
+        self._round_trips_ms: dict[str, collections.deque[int]] = {}
+        self._rounds = 0
 
     def probe(self) -> None:
         """Sends one probe to each other data centre, to peers in turn."""
@@ -43,19 +43,19 @@
         for peer in self._network.peers:
             if peer.data_centre != self._data_centre:
                 peers.setdefault(peer.data_centre, []).append(peer)
-        self._asked += 1
-        for others in peers.values():
-            asked = others[self._asked % len(others)]
-            self._network.send(asked, wire.LinkProbe(self._clock.now_ms()))
+        self._rounds += 1
+        for candidates in peers.values():
+            target = candidates[self._rounds % len(candidates)]
+            self._network.send(target, wire.LinkProbe(self._clock.now_ms()))
 
     def on_probe(self, peer: PeerAddress, probe: wire.LinkProbe) -> None:
         """Takes a peer's answer; one to an old probe counts as well."""
         if not probe.answer:
             return
-        kept = self._round_trips.setdefault(
-            peer.data_centre, collections.deque(maxlen=_KEPT)
+        samples = self._round_trips_ms.setdefault(
+            peer.data_centre, collections.deque(maxlen=_MAX_SAMPLES)
         )
-        kept.append(self._clock.now_ms() - probe.sent_ms)
+        samples.append(self._clock.now_ms() - probe.sent_ms)
         self._latencies.learn(
-            self._data_centre, peer.data_centre, min(kept) / 2
+            self._data_centre, peer.data_centre, min(samples) / 2
         )
--- a/caroblug/entry/_limits.py
+++ b/caroblug/entry/_limits.py
@@ -12,18 +12,18 @@
     RetryAfter,
 )
 from caroblug.core.state import Quarantine
-from caroblug.entry._admission import StreamAdmission, rule_of
-from caroblug.entry._loads import EngineLoads
+from caroblug.entry._admission import StreamAdmission, make_account_rule
+from caroblug.entry._quarantine import QuarantineClient
 from caroblug.entry._settings import EntrySettings
 from caroblug.entry._shares import ShareClient
-from caroblug.entry._suspects import SuspectClient
+from caroblug.entry._wait_estimator import WaitEstimator
 from caroblug.gen.wire import ttypes as wire
 from caroblug.node import BundleFollower
 from caroblug.transport import InstanceRecord, PeerAddress, PeerNetwork
 from caroblug.utils import Clock, Metrics
 
 _ENTRY_ROLE = "entry"
-_SETTLED_MS = 60_000
+_HOME_SETTLED_MS = 60_000
 
 
 class EntryLimits:
@@ -46,26 +46,26 @@
         metrics: Metrics,
     ) -> None:
         self._bundles = bundles
-        homes = HomeEntries(settings.instance, _SETTLED_MS)
-        self.loads = EngineLoads(clock, settings.report_age_ms)
+        home_entries = HomeEntries(settings.instance, _HOME_SETTLED_MS)
+        self.wait_estimator = WaitEstimator(clock, settings.report_age_ms)
         self.shares = ShareClient(
-            network, homes, self._account_rule, clock, metrics
+            network, home_entries, self._account_rule, clock, metrics
         )
-        self.suspects = SuspectClient(
-            network, homes, self._quarantine, clock, metrics
+        self.quarantine = QuarantineClient(
+            network, home_entries, self._quarantine_rule, clock, metrics
         )
         self.admission = StreamAdmission(
             ConcurrencyLimiter(settings.streams),
             self.shares,
-            self.suspects,
-            self.loads,
+            self.quarantine,
+            self.wait_estimator,
             RetryAfter(random.Random()),
         )
 
     def start(self) -> None:
         """Starts reporting to the accounts' homes."""
         gevent.spawn(self.shares.run)
-        gevent.spawn(self.suspects.run)
+        gevent.spawn(self.quarantine.run)
 
     def on_listed(self, listed: Sequence[InstanceRecord]) -> None:
         """Takes what the instance list shows."""
@@ -75,36 +75,36 @@
             if r.role == _ENTRY_ROLE and not r.leaving
         ]
         self.shares.on_listed(entries)
-        self.suspects.on_listed(entries)
+        self.quarantine.on_listed(entries)
 
     def on_frame(self, peer: PeerAddress, frame: wire.Frame) -> None:
         """Takes what a frame says of loads, shares and suspects."""
         for report in frame.reports or ():
-            self.loads.on_report(report)
+            self.wait_estimator.on_report(report)
         for demand in frame.demands or ():
             self.shares.on_demand(peer, demand)
         for grant in frame.grants or ():
             self.shares.on_grant(grant)
         for suspicion in frame.suspicions or ():
-            self.suspects.on_suspicion(suspicion)
-        for wanted in frame.run_requests or ():
-            self.suspects.on_run_request(peer, wanted)
+            self.quarantine.on_suspicion(suspicion)
+        for run_request in frame.run_requests or ():
+            self.quarantine.on_run_request(peer, run_request)
         for admitted in frame.run_admitted or ():
-            self.suspects.on_run_admitted(admitted)
+            self.quarantine.on_run_admitted(admitted)
 
     def on_peer_lost(self, instance: str) -> None:
         """Takes it that an instance can't be reached."""
-        self.loads.forget(instance)
+        self.wait_estimator.remove(instance)
         self.shares.on_peer_lost(instance)
-        self.suspects.on_peer_lost(instance)
+        self.quarantine.on_peer_lost(instance)
 
     def _account_rule(self, client_account: str) -> AccountRule | None:
         head = self._bundles.head
         if head is None:
             return None
         account = head.bundle.client_accounts.get(client_account)
-        return rule_of(account) if account is not None else None
+        return make_account_rule(account) if account is not None else None
 
-    def _quarantine(self) -> Quarantine:
+    def _quarantine_rule(self) -> Quarantine:
         head = self._bundles.head
         return head.bundle.quarantine if head is not None else Quarantine()
--- a/caroblug/entry/_models.py
+++ b/caroblug/entry/_models.py
@@ -2,29 +2,29 @@
 
 import falcon
 
-from caroblug.entry._door import Door
 from caroblug.entry._refusals import write_refusal
+from caroblug.entry._request_guard import RequestGuard
 from caroblug.utils import Refused
 
 
-class Models:
+class ModelsResource:
     """`GET /v1/models`."""
 
-    def __init__(self, door: Door) -> None:
-        self._door = door
+    def __init__(self, guard: RequestGuard) -> None:
+        self._guard = guard
 
     def on_get(
         self, request: falcon.Request, response: falcon.Response
     ) -> None:
         """Lists the models of the bundle in force."""
-        entered = self._door.enter(request)
-        if isinstance(entered, Refused):
-            write_refusal(response, entered)
+        checked = self._guard.authenticate_request(request)
+        if isinstance(checked, Refused):
+            write_refusal(response, checked)
             return
         response.media = {
             "object": "list",
             "data": [
                 {"id": name, "object": "model", "owned_by": "caroblug"}
-                for name in sorted(entered[0].bundle.models)
+                for name in sorted(checked[0].bundle.models)
             ],
         }
--- a/caroblug/entry/_plain.py
+++ b/caroblug/entry/_plain_service_client.py
@@ -9,19 +9,19 @@
 
 from caroblug.core.limits import Hedging
 from caroblug.core.state import ServiceRule
-from caroblug.entry._directory import Directory, PlainView
+from caroblug.entry._directory import PlainServiceView, SideDirectory
 from caroblug.gen.wire import ttypes as wire
 from caroblug.transport import PeerNetwork
 from caroblug.utils import Clock, Metrics, Ran, RefusalType, Refused
 
-_CALL_BYTES = 8
+_CALL_ID_BYTES = 8
 _RETRY_AFTER_MS = 1000
-_ATTEMPTS = 3
+_MAX_ATTEMPTS = 3
 _MS_PER_S = 1000
 
 
 @attrs.frozen
-class _Reply:
+class _AttemptResult:
     """What came of one sending; `reply` is None if the peer was lost."""
 
     instance: str
@@ -30,7 +30,7 @@
 
 
 @attrs.frozen
-class _Waiting:
+class _PendingAttempt:
     """One sending of a call that waits for its reply."""
 
     instance: str
@@ -38,7 +38,7 @@
     inbox: queue.SimpleQueue
 
 
-class _Sendings:
+class _CallAttempts:
     """All sendings of one call."""
 
     def __init__(self, call: wire.PlainCall, deadline_ms: int) -> None:
@@ -49,7 +49,7 @@
         self.open: list[str] = []
 
 
-class PlainClient:
+class PlainServiceClient:
     """Calls plain services, repeating only what may be repeated.
 
     Args:
@@ -62,7 +62,7 @@
     def __init__(
         self,
         network: PeerNetwork,
-        directory: Directory,
+        directory: SideDirectory,
         clock: Clock,
         metrics: Metrics,
     ) -> None:
@@ -70,11 +70,11 @@
         self._directory = directory
         self._clock = clock
         self._metrics = metrics
-        self._waiting: dict[str, _Waiting] = {}
+        self._pending: dict[str, _PendingAttempt] = {}
         self._hedging: dict[str, Hedging] = {}
 
     def __len__(self) -> int:
-        return len(self._waiting)
+        return len(self._pending)
 
     def call(
         self, call: wire.PlainCall, rule: ServiceRule
@@ -85,105 +85,107 @@
         process has said that it did not run. One that may be is also sent
         again when it fails or takes long, within the budget.
         """
-        sendings = _Sendings(call, self._clock.now_ms() + rule.timeout_ms)
+        attempts = _CallAttempts(call, self._clock.now_ms() + rule.timeout_ms)
         hedging = self._hedging.setdefault(call.target, Hedging())
         hedging.on_call()
-        if not self._send(sendings):
+        if not self._send(attempts):
             return _no_instance(call.target)
         try:
-            return self._await(sendings, hedging)
+            return self._wait(attempts, hedging)
         finally:
-            for identity in sendings.open:
-                self._forget(identity)
+            for call_id in attempts.open:
+                self._remove(call_id)
 
     def on_reply(self, reply: wire.PlainReply) -> None:
         """Takes a reply; one that nobody waits for is dropped."""
-        self._end(reply.call, reply)
+        self._complete(reply.call, reply)
 
     def on_peer_lost(self, instance: str) -> None:
         """Ends the wait for replies from an instance."""
-        for identity, waiting in list(self._waiting.items()):
-            if waiting.instance == instance:
-                self._end(identity, None)
+        for call_id, attempt in list(self._pending.items()):
+            if attempt.instance == instance:
+                self._complete(call_id, None)
 
-    def _await(
-        self, sendings: _Sendings, hedging: Hedging
+    def _wait(
+        self, attempts: _CallAttempts, hedging: Hedging
     ) -> wire.PlainReply | Refused:
-        refused = _no_answer()
-        pending = len(sendings.open)
-        hedge_ms = hedging.delay_ms if sendings.call.repeatable else None
-        while pending:
-            left_ms = sendings.deadline_ms - self._clock.now_ms()
+        refused = _no_reply()
+        open_attempts = len(attempts.open)
+        hedge_ms = hedging.delay_ms if attempts.call.repeatable else None
+        while open_attempts:
+            left_ms = attempts.deadline_ms - self._clock.now_ms()
             wait_ms = left_ms if hedge_ms is None else min(left_ms, hedge_ms)
-            received = _take(sendings.inbox, wait_ms)
-            if received is None:
+            result = _receive(attempts.inbox, wait_ms)
+            if result is None:
                 if left_ms <= 0 or hedge_ms is None:
-                    return _no_answer()
+                    return _no_reply()
                 hedge_ms = None
-                pending += self._resend(sendings, hedging, "hedge")
+                open_attempts += self._resend(attempts, hedging, "hedge")
                 continue
-            pending -= 1
-            outcome = _outcome_of(received)
+            open_attempts -= 1
+            outcome = _parse_result(result)
             if isinstance(outcome, wire.PlainReply):
-                hedging.on_answer(self._clock.now_ms() - received.sent_ms)
+                hedging.on_answer(self._clock.now_ms() - result.sent_ms)
                 return outcome
             refused = outcome
-            if not pending and _may_try_another(sendings.call, refused):
-                pending += self._retry(sendings, hedging, refused)
+            if not open_attempts and _is_retryable(attempts.call, refused):
+                open_attempts += self._retry(attempts, hedging, refused)
         return refused
 
     def _retry(
-        self, sendings: _Sendings, hedging: Hedging, refused: Refused
+        self, attempts: _CallAttempts, hedging: Hedging, refused: Refused
     ) -> bool:
         # An instance that leaves has done nothing: asking another one adds
         # no load, and a restart must not use up the budget.
         if refused.type is RefusalType.LEAVING:
-            return len(sendings.tried) < _ATTEMPTS and self._send(sendings)
-        return self._resend(sendings, hedging, "retry")
+            return len(attempts.tried) < _MAX_ATTEMPTS and self._send(attempts)
+        return self._resend(attempts, hedging, "retry")
 
     def _resend(
-        self, sendings: _Sendings, hedging: Hedging, cause: str
+        self, attempts: _CallAttempts, hedging: Hedging, cause: str
     ) -> bool:
-        if len(sendings.tried) >= _ATTEMPTS or not hedging.take():
+        if len(attempts.tried) >= _MAX_ATTEMPTS or not hedging.take():
             return False
-        sent = self._send(sendings)
+        sent = self._send(attempts)
         if sent:
             self._metrics.count("plain_resends", cause=cause)
         return sent
 
-    def _send(self, sendings: _Sendings) -> bool:
-        view = self._choose(sendings.call, sendings.tried)
+    def _send(self, attempts: _CallAttempts) -> bool:
+        view = self._choose_instance(attempts.call, attempts.tried)
         if view is None:
             return False
         instance = view.address.instance
-        sendings.tried.add(instance)
-        call = copy.copy(sendings.call)
-        call.call = secrets.token_hex(_CALL_BYTES)
-        sendings.open.append(call.call)
-        self._waiting[call.call] = _Waiting(
-            instance, self._clock.now_ms(), sendings.inbox
+        attempts.tried.add(instance)
+        call = copy.copy(attempts.call)
+        call.call = secrets.token_hex(_CALL_ID_BYTES)
+        attempts.open.append(call.call)
+        self._pending[call.call] = _PendingAttempt(
+            instance, self._clock.now_ms(), attempts.inbox
         )
         self._network.watch(instance)
         self._network.send(view.address, call)
         return True
 
-    def _forget(self, identity: str) -> _Waiting | None:
-        waiting = self._waiting.pop(identity, None)
-        if waiting is not None:
-            self._network.watch(waiting.instance, -1)
-        return waiting
+    def _remove(self, call_id: str) -> _PendingAttempt | None:
+        attempt = self._pending.pop(call_id, None)
+        if attempt is not None:
+            self._network.watch(attempt.instance, -1)
+        return attempt
 
-    def _end(self, identity: str, reply: wire.PlainReply | None) -> None:
-        waiting = self._forget(identity)
-        if waiting is not None:
-            waiting.inbox.put(_Reply(waiting.instance, waiting.sent_ms, reply))
+    def _complete(self, call_id: str, reply: wire.PlainReply | None) -> None:
+        attempt = self._remove(call_id)
+        if attempt is not None:
+            attempt.inbox.put(
+                _AttemptResult(attempt.instance, attempt.sent_ms, reply)
+            )
 
-    def _choose(
+    def _choose_instance(
         self, call: wire.PlainCall, tried: set[str]
-    ) -> PlainView | None:
+    ) -> PlainServiceView | None:
         views = [
             view
-            for view in self._directory.plain(call.target)
+            for view in self._directory.plain_services(call.target)
             if view.address.instance not in tried
         ]
         if not views:
@@ -193,17 +195,17 @@
         return min(views, key=lambda view: view.running)
 
 
-def _take(inbox: queue.SimpleQueue, wait_ms: int) -> _Reply | None:
+def _receive(inbox: queue.SimpleQueue, wait_ms: int) -> _AttemptResult | None:
     try:
         return inbox.get(timeout=max(0, wait_ms) / _MS_PER_S)
     except queue.Empty:
         return None
 
 
-def _outcome_of(received: _Reply) -> wire.PlainReply | Refused:
-    reply = received.reply
+def _parse_result(result: _AttemptResult) -> wire.PlainReply | Refused:
+    reply = result.reply
     if reply is None:
-        return _no_answer()
+        return _no_reply()
     if reply.status:
         return reply
     return Refused(
@@ -214,7 +216,7 @@
     )
 
 
-def _no_answer() -> Refused:
+def _no_reply() -> Refused:
     return Refused(
         RefusalType.OUTCOME_UNKNOWN,
         "no answer from the service",
@@ -223,7 +225,7 @@
     )
 
 
-def _may_try_another(call: wire.PlainCall, refused: Refused) -> bool:
+def _is_retryable(call: wire.PlainCall, refused: Refused) -> bool:
     """Tells whether another instance may be asked after a refusal.
 
     A key's owner may have left an intent on the log, which another owner
@@ -236,7 +238,7 @@
     return refused.ran is Ran.NO
 
 
-def _rank(call: wire.PlainCall, view: PlainView) -> int:
+def _rank(call: wire.PlainCall, view: PlainServiceView) -> int:
     """Rendezvous rank: every entry sends a key to the same instance."""
     text = f"{call.client_account}\0{call.key}\0{view.address.instance}"
     return xxhash.xxh64_intdigest(text.encode())
--- a/caroblug/entry/_suspects.py
+++ b/caroblug/entry/_quarantine.py
@@ -31,13 +31,13 @@
 )
 
 _SIDE_ROLE = "side"
-_GATE_TERM_MS = 120_000
+_RUN_GATE_TERM_MS = 120_000
 _RETRY_AFTER_MS = 1000
 _TICK_S = 0.5
 _MS_PER_S = 1000
 
 
-class SuspectClient:
+class QuarantineClient:
     """Keeps quarantined requests out and equal requests in line.
 
     Args:
@@ -51,21 +51,21 @@
     def __init__(
         self,
         network: PeerNetwork,
-        homes: HomeEntries,
+        home_entries: HomeEntries,
         rule: Callable[[], Quarantine],
         clock: Clock,
         metrics: Metrics,
     ) -> None:
         self._network = network
-        self._homes = homes
+        self._home_entries = home_entries
         self._rule = rule
         self._clock = clock
         self._metrics = metrics
         self._known = Suspicions()
-        self._gate = RunGate(_GATE_TERM_MS)
+        self._gate = RunGate(_RUN_GATE_TERM_MS)
         self._entries: dict[str, PeerAddress] = {}
-        self._askers: dict[str, PeerAddress] = {}
-        self._numbers = 0
+        self._requesters: dict[str, PeerAddress] = {}
+        self._last_number = 0
         self._waiting: dict[Ticket, tuple[str, event.Event]] = {}
 
     def on_listed(self, entries: Iterable[PeerAddress]) -> None:
@@ -82,7 +82,7 @@
             quarantined = self._known.count_quarantined(now_ms)
             self._metrics.gauge("quarantined_requests", quarantined)
 
-    def alone_until(self, fingerprint: str) -> int:
+    def isolate_until(self, fingerprint: str) -> int:
         """Returns the position up to which a request is to run alone."""
         return self._known.isolate_until(fingerprint, self._clock.now_ms())
 
@@ -114,15 +114,15 @@
         """
         if self._gate.is_proved(fingerprint, self._clock.now_ms()):
             return self.refusal(fingerprint, Ran.NO) or Ticket("", 0)
-        self._numbers += 1
-        ticket = Ticket(self._homes.own, self._numbers)
+        self._last_number += 1
+        ticket = Ticket(self._home_entries.own, self._last_number)
         end_ms = self._clock.now_ms() + timeout_ms
         admitted = self._enter_at_home(
             fingerprint, client_account, ticket, timeout_ms
         )
         if not admitted:
             left_ms = end_ms - self._clock.now_ms()
-            admitted = self._enter_here(fingerprint, ticket, left_ms)
+            admitted = self._enter_locally(fingerprint, ticket, left_ms)
         refused = self.refusal(fingerprint, Ran.NO)
         if refused is None and not admitted:
             refused = Refused(
@@ -153,14 +153,14 @@
         """
         if not ticket.number:
             return
-        home = self._homes.home_of(client_account)
-        if home in self._entries and home != self._homes.own:
+        home = self._home_entries.home_of(client_account)
+        if home in self._entries and home != self._home_entries.own:
             message = wire.RunRequest(
                 fingerprint, ticket.number, leave=True, proved=proved
             )
             if self._network.is_connected(home):
                 self._network.send(self._entries[home], message)
-        self._leave_here(fingerprint, ticket, proved=proved)
+        self._leave_locally(fingerprint, ticket, proved=proved)
 
     def on_progress(self, fingerprint: str, length: int) -> None:
         """Clears a request that has run on past where a crash met it.
@@ -171,7 +171,7 @@
         """
         now_ms = self._clock.now_ms()
         for suspicion in self._known.clear(fingerprint, length, now_ms):
-            self._pass_on(suspicion)
+            self._forward_to_home(suspicion)
 
     def on_suspicion(self, message: wire.Suspicion) -> None:
         """Takes news of a crash, and passes it on if it is news."""
@@ -182,7 +182,7 @@
             return
         self._metrics.count("suspicions")
         self._gate.revoke_proved(suspicion.fingerprint)
-        self._pass_on(suspicion)
+        self._forward_to_home(suspicion)
         after = self._known.verdict(suspicion.fingerprint, now_ms)
         if after is Verdict.QUARANTINED and before is not after:
             log_state(
@@ -191,7 +191,7 @@
                 client_account=suspicion.client_account,
             )
             self._metrics.count("quarantines")
-            self._tell_sides(suspicion.fingerprint)
+            self._broadcast_to_sides(suspicion.fingerprint)
 
     def on_run_request(
         self, peer: PeerAddress, message: wire.RunRequest
@@ -202,10 +202,10 @@
         instance list yet: it answers whoever asked it, listed or not, or the
         request would wait for its turn until its deadline.
         """
-        self._askers[peer.instance] = peer
+        self._requesters[peer.instance] = peer
         ticket = Ticket(peer.instance, message.number)
         if message.leave:
-            self._leave_here(
+            self._leave_locally(
                 message.fingerprint, ticket, proved=bool(message.proved)
             )
             return
@@ -217,14 +217,16 @@
         """Lets a request run that its account's home has admitted."""
         for known in message.known or ():
             self.on_suspicion(known)
-        waiting = self._waiting.get(Ticket(self._homes.own, message.number))
+        waiting = self._waiting.get(
+            Ticket(self._home_entries.own, message.number)
+        )
         if waiting is not None:
             waiting[1].set()
 
     def on_peer_lost(self, instance: str) -> None:
         """Frees the places of a lost entry; waits no more for a lost home."""
-        asked = self._askers.pop(instance, None)
-        if asked is None and instance not in self._entries:
+        requester = self._requesters.pop(instance, None)
+        if requester is None and instance not in self._entries:
             return
         now_ms = self._clock.now_ms()
         for fingerprint, ticket in self._gate.drop_entry(instance, now_ms):
@@ -240,8 +242,8 @@
         ticket: Ticket,
         timeout_ms: int,
     ) -> bool:
-        home = self._homes.home_of(client_account)
-        if home == self._homes.own or home not in self._entries:
+        home = self._home_entries.home_of(client_account)
+        if home == self._home_entries.own or home not in self._entries:
             return False
         answer = event.Event()
         self._waiting[ticket] = (home, answer)
@@ -253,7 +255,7 @@
             del self._waiting[ticket]
         return answered and self._network.is_connected(home)
 
-    def _enter_here(
+    def _enter_locally(
         self, fingerprint: str, ticket: Ticket, timeout_ms: int
     ) -> bool:
         """Waits in this entry's own line: as home, or for want of one."""
@@ -262,13 +264,13 @@
         if self._gate.enter(fingerprint, ticket, self._clock.now_ms()):
             return True
         answer = event.Event()
-        self._waiting[ticket] = (self._homes.own, answer)
+        self._waiting[ticket] = (self._home_entries.own, answer)
         try:
             return answer.wait(timeout_ms / _MS_PER_S)
         finally:
             del self._waiting[ticket]
 
-    def _leave_here(
+    def _leave_locally(
         self, fingerprint: str, ticket: Ticket, *, proved: bool
     ) -> None:
         now_ms = self._clock.now_ms()
@@ -281,12 +283,12 @@
             self._admit(fingerprint, following)
 
     def _admit(self, fingerprint: str, ticket: Ticket) -> None:
-        if ticket.entry == self._homes.own:
+        if ticket.entry == self._home_entries.own:
             waiting = self._waiting.get(ticket)
             if waiting is not None:
                 waiting[1].set()
             return
-        entry = self._askers.get(ticket.entry)
+        entry = self._requesters.get(ticket.entry)
         if entry is None:
             return
         known = self._known.for_request(fingerprint, self._clock.now_ms())
@@ -299,15 +301,15 @@
             ),
         )
 
-    def _pass_on(self, suspicion: Suspicion) -> None:
+    def _forward_to_home(self, suspicion: Suspicion) -> None:
         """Tells the account's home, which tells whoever asks it."""
-        home = self._homes.home_of(suspicion.client_account)
-        if home != self._homes.own and home in self._entries:
+        home = self._home_entries.home_of(suspicion.client_account)
+        if home != self._home_entries.own and home in self._entries:
             self._network.send(
                 self._entries[home], suspicion_to_wire(suspicion)
             )
 
-    def _tell_sides(self, fingerprint: str) -> None:
+    def _broadcast_to_sides(self, fingerprint: str) -> None:
         known = self._known.for_request(fingerprint, self._clock.now_ms())
         self._network.broadcast(
             _SIDE_ROLE, *(suspicion_to_wire(s) for s in known)
--- a/caroblug/entry/_report_age.py
+++ b/caroblug/entry/_report_expiry.py
@@ -5,7 +5,7 @@
 _MISSED_REPORTS = 3
 
 
-def trusted_until_ms(
+def report_expiry_ms(
     report: wire.LoadReport, now_ms: int, report_age_ms: int
 ) -> int:
     """Returns when a report stops to count.
--- a/caroblug/entry/_door.py
+++ b/caroblug/entry/_request_guard.py
@@ -3,7 +3,7 @@
 import falcon
 
 from caroblug.core.state import Head
-from caroblug.entry._accounts import authenticate
+from caroblug.entry._authentication import authenticate
 from caroblug.node import BundleFollower, Lifetime
 from caroblug.utils import RefusalType, Refused
 
@@ -15,7 +15,7 @@
 )
 
 
-class Door:
+class RequestGuard:
     """What every resource asks first: bundle, account, body.
 
     Args:
@@ -27,7 +27,9 @@
         self._bundles = bundles
         self._lifetime = lifetime
 
-    def enter(self, request: falcon.Request) -> tuple[Head, str] | Refused:
+    def authenticate_request(
+        self, request: falcon.Request
+    ) -> tuple[Head, str] | Refused:
         """Returns the head and the client account, or a refusal."""
         head = self._bundles.newest_head()
         if head is None or not self._lifetime.accepting:
--- a/caroblug/entry/_requests.py
+++ b/caroblug/entry/_requests.py
@@ -8,7 +8,7 @@
 import orjson
 
 from caroblug.core.state import Bundle
-from caroblug.entry._door import body_too_large
+from caroblug.entry._request_guard import body_too_large
 from caroblug.entry._streams import StreamRequest
 from caroblug.entry._tokenizer import make_tokenizer
 from caroblug.utils import (
@@ -66,14 +66,16 @@
     try:
         table: Any = orjson.loads(body)
     except orjson.JSONDecodeError as error:
-        return _bad(f"the body is not JSON: {error}")
+        return _bad_request(f"the body is not JSON: {error}")
     if not isinstance(table, dict):
-        return _bad("the body must be a JSON object")
+        return _bad_request("the body must be a JSON object")
     parsed = structure_table(table, Completion, "body")
     if isinstance(parsed, SettingsRejected):
-        return _bad("; ".join(f"{p.key} {p.message}" for p in parsed.problems))
+        return _bad_request(
+            "; ".join(f"{p.key} {p.message}" for p in parsed.problems)
+        )
     if not parsed.text.strip():
-        return _bad("messages or prompt must hold text")
+        return _bad_request("messages or prompt must hold text")
     return parsed
 
 
@@ -101,10 +103,10 @@
     limits = bundle.limits
     max_tokens = completion.max_completion_tokens or completion.max_tokens
     if max_tokens > limits.max_tokens:
-        return _bad(f"max_tokens must be at most {limits.max_tokens}")
+        return _bad_request(f"max_tokens must be at most {limits.max_tokens}")
     prompt = make_tokenizer(model.vocabulary).encode(completion.text)
     if len(prompt) > limits.prompt_tokens:
-        return _bad(f"the prompt is over {limits.prompt_tokens} tokens")
+        return _bad_request(f"the prompt is over {limits.prompt_tokens} tokens")
     return StreamRequest(
         client_account=client_account,
         weight=bundle.client_accounts[client_account].weight,
@@ -138,5 +140,5 @@
     return digest.hexdigest()
 
 
-def _bad(message: str) -> Refused:
+def _bad_request(message: str) -> Refused:
     return Refused(RefusalType.BAD_REQUEST, message)
--- a/caroblug/entry/_shapes.py
+++ b/caroblug/entry/_response_formats.py
@@ -10,35 +10,35 @@
 from caroblug.entry._streams import RunningStream
 from caroblug.entry._tokenizer import Tokenizer
 
-_PLACE_OF_TEXT = "\x00 text \x00"
+_TEXT_PLACEHOLDER = "\x00 text \x00"
 
 
-class Shape(abc.ABC):
+class ResponseFormat(abc.ABC):
     """The shape of answers in one of the two dialects."""
 
-    prefix = ""
-    whole_object = ""
+    id_prefix = ""
+    response_object = ""
     chunk_object = ""
 
     @abc.abstractmethod
-    def choice(self, text: str) -> dict[str, Any]:
+    def format_choice(self, text: str) -> dict[str, Any]:
         """Returns the part of a whole answer that carries its text."""
 
     @abc.abstractmethod
-    def delta(self, text: str) -> dict[str, Any]:
+    def format_delta(self, text: str) -> dict[str, Any]:
         """Returns the part of a chunk that carries its text."""
 
-    def whole(
+    def format_response(
         self, stream: RunningStream, tokenizer: Tokenizer, tokens: list[int]
     ) -> dict[str, Any]:
         """Returns a whole answer."""
         prompt = len(stream.request.prompt)
-        body = self._base(stream, self.whole_object)
+        body = self._base(stream, self.response_object)
         body["choices"] = [
             {
                 "index": 0,
                 "finish_reason": "length",
-                **self.choice(tokenizer.decode(tokens)),
+                **self.format_choice(tokenizer.decode(tokens)),
             }
         ]
         body["usage"] = {
@@ -48,20 +48,20 @@
         }
         return body
 
-    def chunk(
+    def format_chunk(
         self, stream: RunningStream, text: str, finish: str | None = None
     ) -> dict[str, Any]:
         """Returns one chunk of a streamed answer."""
         body = self._base(stream, self.chunk_object)
         body["choices"] = [
-            {"index": 0, "finish_reason": finish, **self.delta(text)}
+            {"index": 0, "finish_reason": finish, **self.format_delta(text)}
         ]
         return body
 
-    def _base(self, stream: RunningStream, kind: str) -> dict[str, Any]:
+    def _base(self, stream: RunningStream, object_type: str) -> dict[str, Any]:
         return {
-            "id": f"{self.prefix}-{stream.name}",
-            "object": kind,
+            "id": f"{self.id_prefix}-{stream.name}",
+            "object": object_type,
             "created": int(time.time()),
             "model": stream.request.model,
         }
@@ -83,40 +83,42 @@
         return self.head + orjson.dumps(text) + self.tail
 
 
-def make_chunk_template(shape: Shape, stream: RunningStream) -> ChunkTemplate:
+def make_chunk_template(
+    response_format: ResponseFormat, stream: RunningStream
+) -> ChunkTemplate:
     """Returns the template of a stream's chunks."""
-    body = orjson.dumps(shape.chunk(stream, _PLACE_OF_TEXT))
-    head, _, tail = body.partition(orjson.dumps(_PLACE_OF_TEXT))
+    body = orjson.dumps(response_format.format_chunk(stream, _TEXT_PLACEHOLDER))
+    head, _, tail = body.partition(orjson.dumps(_TEXT_PLACEHOLDER))
     return ChunkTemplate(b"data: " + head, tail + b"\n\n")
 
 
-class ChatShape(Shape):
+class ChatFormat(ResponseFormat):
     """The shape of `/v1/chat/completions`."""
 
-    prefix = "chatcmpl"
-    whole_object = "chat.completion"
+    id_prefix = "chatcmpl"
+    response_object = "chat.completion"
     chunk_object = "chat.completion.chunk"
 
-    def choice(self, text: str) -> dict[str, Any]:
+    def format_choice(self, text: str) -> dict[str, Any]:
         """Returns the part of a whole answer that carries its text."""
         return {"message": {"role": "assistant", "content": text}}
 
-    def delta(self, text: str) -> dict[str, Any]:
+    def format_delta(self, text: str) -> dict[str, Any]:
         """Returns the part of a chunk that carries its text."""
         return {"delta": {"content": text} if text else {}}
 
 
-class TextShape(Shape):
+class TextFormat(ResponseFormat):
     """The shape of `/v1/completions`."""
 
-    prefix = "cmpl"
-    whole_object = "text_completion"
+    id_prefix = "cmpl"
+    response_object = "text_completion"
     chunk_object = "text_completion"
 
-    def choice(self, text: str) -> dict[str, Any]:
+    def format_choice(self, text: str) -> dict[str, Any]:
         """Returns the part of a whole answer that carries its text."""
         return {"text": text}
 
-    def delta(self, text: str) -> dict[str, Any]:
+    def format_delta(self, text: str) -> dict[str, Any]:
         """Returns the part of a chunk that carries its text."""
         return {"text": text}
--- a/caroblug/entry/_server.py
+++ b/caroblug/entry/_server.py
@@ -10,19 +10,19 @@
 from caroblug.core.routing import LatencyTable, covers_layers, make_chooser
 from caroblug.core.state import Head
 from caroblug.entry._api import make_app
-from caroblug.entry._chains import ChainPicker
-from caroblug.entry._directory import Directory
-from caroblug.entry._door import Door
+from caroblug.entry._chain_picker import ChainPicker
+from caroblug.entry._directory import SideDirectory
+from caroblug.entry._latency_prober import LatencyProber
 from caroblug.entry._limits import EntryLimits
-from caroblug.entry._links import LinkProber
-from caroblug.entry._plain import PlainClient
+from caroblug.entry._plain_service_client import PlainServiceClient
+from caroblug.entry._request_guard import RequestGuard
 from caroblug.entry._settings import EntrySettings
 from caroblug.entry._streams import (
     EntryStreams,
     RecoveryPolicy,
-    RecoveryWay,
+    RecoveryStrategy,
 )
-from caroblug.entry._subset import Subset
+from caroblug.entry._subset import SideSubset
 from caroblug.gen.wire import ttypes as wire
 from caroblug.node import (
     Lifetime,
@@ -45,8 +45,8 @@
 )
 
 _SIDE_ROLE = "side"
-_HEARING_MS = 10_000
-_REFILL_S = 60
+_ENGINE_DISCOVERY_TIMEOUT_MS = 10_000
+_RETRY_REFILL_PERIOD_S = 60
 
 
 class EntryServer(PeerHandler):
@@ -87,12 +87,12 @@
             self._on_head,
         )
         self.latencies = LatencyTable()
-        self.prober = LinkProber(
+        self.latency_prober = LatencyProber(
             settings.data_centre, self.network, self.latencies, self._clock
         )
-        self.subset = Subset(settings.instance, settings.subset)
+        self.subset = SideSubset(settings.instance, settings.subset)
         self.bundles = self.fleet.bundles
-        self.directory = Directory(self._clock, settings.report_age_ms)
+        self.directory = SideDirectory(self._clock, settings.report_age_ms)
         self.limits = EntryLimits(
             settings, self.network, self.bundles, self._clock, self.metrics
         )
@@ -115,10 +115,10 @@
             ),
             self._clock,
             self.metrics,
-            _make_policy(settings),
-            self.limits.suspects,
+            _make_recovery_policy(settings),
+            self.limits.quarantine,
         )
-        self.plain = PlainClient(
+        self.service_client = PlainServiceClient(
             self.network, self.directory, self._clock, self.metrics
         )
 
@@ -127,16 +127,19 @@
         """Whether callers may be sent here."""
         if self.lifetime.leaving or not self.bundles.ready:
             return False
-        return self._knows_engines()
+        return self._has_engines_for_all_layers()
 
-    def _knows_engines(self) -> bool:
+    def _has_engines_for_all_layers(self) -> bool:
         """Tells whether every model has engines for all of its layers.
 
         Guards against an entry that has just started, is sent callers and
         refuses them for want of engines it has not heard of yet. After a
         while it takes it that there are none to hear of.
         """
-        if self._clock.now_ms() - self._started_ms >= _HEARING_MS:
+        if (
+            self._clock.now_ms() - self._started_ms
+            >= _ENGINE_DISCOVERY_TIMEOUT_MS
+        ):
             return True
         models = self.bundles.head.bundle.models
         return all(
@@ -152,7 +155,7 @@
         http = NodeHttp(settings.host, settings.http_port, self._make_app())
         http.start()
         self.fleet.start(self.lifetime.leave)
-        gevent.spawn(self._follow_instances)
+        gevent.spawn(self._watch_instances)
         gevent.spawn(self._probe_links)
         self.limits.start()
         log_state("program.started", port=settings.http_port)
@@ -169,13 +172,13 @@
             self.subset.on_report(report)
             self.metrics.gauge("known_sides", len(self.directory))
         for probe in frame.probes or ():
-            self.prober.on_probe(peer, probe)
+            self.latency_prober.on_probe(peer, probe)
         for token in frame.tokens or ():
             self.streams.on_token(token)
         for refusal in frame.refusals or ():
             self.streams.on_refusal(refusal)
         for reply in frame.replies or ():
-            self.plain.on_reply(reply)
+            self.service_client.on_reply(reply)
 
     def on_peer_up(self, peer: PeerAddress) -> None:
         """Waits for the peer's first report."""
@@ -185,17 +188,17 @@
         """Recovers what ran at the peer."""
         del reason
         self.fleet.on_peer_lost(peer)
-        self.directory.forget(peer.instance)
+        self.directory.remove(peer.instance)
         self.limits.on_peer_lost(peer.instance)
         self.metrics.gauge("known_sides", len(self.directory))
         self.streams.on_peer_lost(peer.instance)
-        self.plain.on_peer_lost(peer.instance)
+        self.service_client.on_peer_lost(peer.instance)
 
     def _make_app(self) -> falcon.App:
         app = make_app(
-            Door(self.bundles, self.lifetime),
+            RequestGuard(self.bundles, self.lifetime),
             self.streams,
-            self.plain,
+            self.service_client,
             self.limits.admission,
             self._clock,
             self.metrics,
@@ -204,7 +207,7 @@
         add_status_route(
             app,
             lambda: self.fleet.status(
-                self.ready, len(self.streams) + len(self.plain)
+                self.ready, len(self.streams) + len(self.service_client)
             ),
         )
         return app
@@ -212,7 +215,7 @@
     def _on_head(self, head: Head) -> None:
         """Needs nothing: every request reads the head anew."""
 
-    def _follow_instances(self) -> None:
+    def _watch_instances(self) -> None:
         while True:
             listed = self.fleet.members.listed
             leaving = {r.instance for r in listed if r.leaving}
@@ -228,30 +231,32 @@
             for record in listed
             if record.role == _SIDE_ROLE and not record.leaving
         }
-        wanted = self.subset.wanted(live)
-        for instance in sorted(wanted):
+        selected = self.subset.select(live)
+        for instance in sorted(selected):
             record = live[instance]
             if not self.network.is_connected(instance):
                 self.network.send(
                     PeerAddress(instance, record.host, record.port)
                 )
-        for instance in live.keys() - wanted:
+        for instance in live.keys() - selected:
             if not self.directory.own_streams(instance):
                 self.network.disconnect(instance)
 
     def _probe_links(self) -> None:
         while True:
             gevent.sleep(self.settings.probe_ms / 1000)
-            self.prober.probe()
+            self.latency_prober.probe()
 
 
-def _make_policy(settings: EntrySettings) -> RecoveryPolicy:
+def _make_recovery_policy(settings: EntrySettings) -> RecoveryPolicy:
     budget = RetryBudget(
         RetryRule(settings.account_retries),
-        RetryRule(settings.retries, per_s=settings.retries / _REFILL_S),
+        RetryRule(
+            settings.retries, per_s=settings.retries / _RETRY_REFILL_PERIOD_S
+        ),
     )
     return RecoveryPolicy(
-        settings.attempts, RecoveryWay(settings.recovery), budget
+        settings.attempts, RecoveryStrategy(settings.recovery), budget
     )
 
 
--- a/caroblug/entry/_services.py
+++ b/caroblug/entry/_services.py
@@ -4,51 +4,55 @@
 
 from caroblug.core.limits import ConcurrencyLimiter
 from caroblug.core.state import Bundle, ServiceRule
-from caroblug.entry._door import Door
-from caroblug.entry._plain import PlainClient
+from caroblug.entry._plain_service_client import PlainServiceClient
 from caroblug.entry._refusals import write_refusal
+from caroblug.entry._request_guard import RequestGuard
 from caroblug.gen.wire import ttypes as wire
 from caroblug.utils import CALLERS_OWN, Clock, Metrics, RefusalType, Refused
 
 _RETRY_AFTER_MS = 1000
-_PASSED_HEADERS = ("content-type", "accept")
+_FORWARDED_HEADERS = ("content-type", "accept")
 
 
-class Services:
+class ServicesSink:
     """`ANY /services/NAME/PATH`."""
 
     def __init__(
-        self, door: Door, client: PlainClient, clock: Clock, metrics: Metrics
+        self,
+        guard: RequestGuard,
+        client: PlainServiceClient,
+        clock: Clock,
+        metrics: Metrics,
     ) -> None:
-        self._door = door
+        self._guard = guard
         self._client = client
         self._clock = clock
         self._metrics = metrics
-        self._places: dict[tuple[str, str], ConcurrencyLimiter] = {}
+        self._limiters: dict[tuple[str, str], ConcurrencyLimiter] = {}
 
     def __call__(
         self, request: falcon.Request, response: falcon.Response, **parts: str
     ) -> None:
         """Passes a call on to the named service."""
-        since_ms = self._clock.now_ms()
-        entered = self._door.enter(request)
-        if isinstance(entered, Refused):
-            write_refusal(response, entered)
+        received_ms = self._clock.now_ms()
+        checked = self._guard.authenticate_request(request)
+        if isinstance(checked, Refused):
+            write_refusal(response, checked)
             return
-        head, account = entered
+        head, account = checked
         name = parts["name"]
         group = head.bundle.client_accounts[account].group
         outcome = self._call(request, head.bundle, account, name, parts)
-        kind = "answered"
+        label = "answered"
         if isinstance(outcome, Refused):
-            kind = outcome.type.value
+            label = outcome.type.value
             write_refusal(response, outcome)
             if outcome.type not in CALLERS_OWN:
                 self._metrics.count_bad(account)
         else:
             _write_reply(response, outcome)
-        self._metrics.count("calls", service=name, group=group, outcome=kind)
-        elapsed_ms = self._clock.now_ms() - since_ms
+        self._metrics.count("calls", service=name, group=group, outcome=label)
+        elapsed_ms = self._clock.now_ms() - received_ms
         self._metrics.record_ms("call", elapsed_ms, service=name, group=group)
 
     def _call(
@@ -62,7 +66,7 @@
         rule = bundle.services.get(name)
         if rule is None:
             return Refused(RefusalType.UNKNOWN_SERVICE, f"no service {name!r}")
-        body = self._door.read_body(
+        body = self._guard.read_body(
             request, rule.body_bytes or bundle.limits.body_bytes
         )
         if isinstance(body, Refused):
@@ -74,7 +78,7 @@
             path=f"/{parts.get('path', '')}{query}",
             headers=[
                 wire.Header(header, request.get_header(header))
-                for header in _PASSED_HEADERS
+                for header in _FORWARDED_HEADERS
                 if request.get_header(header)
             ],
             body=body,
@@ -83,16 +87,16 @@
             deadline_ms=rule.timeout_ms,
             client_account=account,
         )
-        return self._call_in_place(call, rule)
+        return self._call_limited(call, rule)
 
-    def _call_in_place(
+    def _call_limited(
         self, call: wire.PlainCall, rule: ServiceRule
     ) -> wire.PlainReply | Refused:
         """Makes a call, unless the account has too many open here."""
         key = (call.target, call.client_account)
-        places = self._places.setdefault(key, ConcurrencyLimiter(rule.calls))
-        places.limit = rule.calls
-        if not places.take():
+        limiter = self._limiters.setdefault(key, ConcurrencyLimiter(rule.calls))
+        limiter.limit = rule.calls
+        if not limiter.take():
             return Refused(
                 RefusalType.LIMIT_REACHED,
                 f"the account's {rule.calls} calls are open already",
@@ -101,9 +105,9 @@
         try:
             return self._client.call(call, rule)
         finally:
-            places.release()
-            if not places.open:
-                self._places.pop(key, None)
+            limiter.release()
+            if not limiter.open:
+                self._limiters.pop(key, None)
 
 
 def _write_reply(response: falcon.Response, reply: wire.PlainReply) -> None:
--- a/caroblug/entry/_settings.py
+++ b/caroblug/entry/_settings.py
@@ -3,7 +3,7 @@
 import attrs
 
 from caroblug.core.routing import CHOOSERS
-from caroblug.entry._streams import RecoveryWay
+from caroblug.entry._streams import RecoveryStrategy
 from caroblug.node import NodeSettings
 from caroblug.utils import choice, count, duration_ms
 
@@ -27,7 +27,7 @@
     streams: int = count(1, 100_000, "Streams open at once.", 2000)
     attempts: int = count(1, 16, "Attempts for one request.", 6)
     recovery: str = choice(
-        tuple(RecoveryWay), "Tried first.", RecoveryWay.REPLACE_STAGE
+        tuple(RecoveryStrategy), "Tried first.", RecoveryStrategy.REPLACE_STAGE
     )
     retries: int = count(1, 100_000, "Recoveries at once.", 2000)
     account_retries: int = count(1, 100_000, "The same per account.", 500)
--- a/caroblug/entry/_feed.py
+++ b/caroblug/entry/_stream_reader.py
@@ -16,9 +16,9 @@
 )
 
 _MS_PER_S = 1000
-_NOT_BAD = {"answered", "cancelled", *CALLERS_OWN}
+_GOOD_OUTCOMES = {"answered", "cancelled", *CALLERS_OWN}
 _RETRY_AFTER_MS = 1000
-_DEADLINE = Refused(
+_DEADLINE_EXCEEDED = Refused(
     RefusalType.DEADLINE_EXCEEDED,
     "the answer took too long",
     Ran.UNKNOWN,
@@ -26,7 +26,7 @@
 )
 
 
-class Feed:
+class StreamReader:
     """Iterates over what a stream releases; ends it whatever happens."""
 
     def __init__(
@@ -42,17 +42,17 @@
         self._permit = permit
         self._clock = clock
         self._metrics = metrics
-        self._since_ms = 0
+        self._received_ms = 0
         self._group = ""
         self._closed = False
 
-    def begin(self, since_ms: int, group: str) -> None:
+    def start_timing(self, received_ms: int, group: str) -> None:
         """Notes when the request came and under which group it counts."""
-        self._since_ms = since_ms
+        self._received_ms = received_ms
         self._group = group
 
     def __iter__(self) -> Iterator[list[int] | Refused]:
-        last_ms = self._since_ms
+        last_ms = self._received_ms
         record_ms = self._recorder("first_token")
         record_next_ms = self._recorder("between_tokens")
         outcome = "answered"
@@ -60,18 +60,18 @@
         deadline = self._start_deadline()
         try:
             while True:
-                part = output.get()
-                if part is None:
+                item = output.get()
+                if item is None:
                     break
-                if isinstance(part, Refused):
-                    outcome = part.type.value
-                    yield part
+                if isinstance(item, Refused):
+                    outcome = item.type.value
+                    yield item
                     break
                 self._permit.on_tokens()
                 now_ms = self._clock.now_ms()
                 record_ms(now_ms - last_ms)
                 record_ms, last_ms = record_next_ms, now_ms
-                yield part
+                yield item
         except GeneratorExit:
             outcome = "cancelled"
             raise
@@ -90,7 +90,7 @@
         """Starts one timer for the whole stream: one a token costs 10 µs."""
         left_ms = max(0, self.stream.end_ms - self._clock.now_ms())
         return gevent.spawn_later(
-            left_ms / _MS_PER_S, self.stream.output.put, _DEADLINE
+            left_ms / _MS_PER_S, self.stream.output.put, _DEADLINE_EXCEEDED
         )
 
     def _recorder(self, name: str) -> Callable[[float], None]:
@@ -99,12 +99,12 @@
 
     def _finish(self, outcome: str) -> None:
         self.close()
-        self._recorder("request")(self._clock.now_ms() - self._since_ms)
+        self._recorder("request")(self._clock.now_ms() - self._received_ms)
         self._metrics.count(
             "requests",
             service=self.stream.request.model,
             group=self._group,
             outcome=outcome,
         )
-        if outcome not in _NOT_BAD:
+        if outcome not in _GOOD_OUTCOMES:
             self._metrics.count_bad(self.stream.request.client_account)
--- a/caroblug/entry/_streams.py
+++ b/caroblug/entry/_streams.py
@@ -10,10 +10,10 @@
 from caroblug.core.limits import RetryBudget
 from caroblug.core.recovery import EntryStream, StageFailure
 from caroblug.core.routing import Chain
-from caroblug.entry._chains import ChainPicker
-from caroblug.entry._directory import Directory
+from caroblug.entry._chain_picker import ChainPicker
+from caroblug.entry._directory import SideDirectory
+from caroblug.entry._quarantine import QuarantineClient
 from caroblug.entry._stream_request import StreamRequest
-from caroblug.entry._suspects import SuspectClient
 from caroblug.gen.wire import ttypes as wire
 from caroblug.transport import PeerAddress, PeerNetwork
 from caroblug.utils import (
@@ -25,9 +25,9 @@
     log_state,
 )
 
-_STREAM_BYTES = 8
+_STREAM_NAME_BYTES = 8
 _RETRY_AFTER_MS = 1000
-_UNREAD = Refused(
+_UNREAD_LIMIT_REACHED = Refused(
     RefusalType.LIMIT_REACHED,
     "the caller does not read its answer",
     Ran.YES,
@@ -57,18 +57,18 @@
         self.excluded: set[str] = set()
         self.failures = 0
         self.output: queue.Queue = queue.Queue()
-        self.on_end: Callable[[], None] = _nothing
+        self.on_end: Callable[[], None] = _do_nothing
 
-    def rename(self) -> None:
+    def renew_wire_name(self) -> None:
         """Takes the next name at the stages."""
         self.wire_name = f"{self.name}-{self.tokens.attempt}"
 
 
-def _nothing() -> None:
+def _do_nothing() -> None:
     """Does nothing."""
 
 
-class RecoveryWay(enum.StrEnum):
+class RecoveryStrategy(enum.StrEnum):
     """What is tried first when a stage is lost."""
 
     REPLACE_STAGE = "replace_stage"
@@ -86,7 +86,7 @@
     """
 
     attempts: int
-    way: RecoveryWay
+    strategy: RecoveryStrategy
     budget: RetryBudget
 
 
@@ -106,23 +106,23 @@
 
     def __init__(
         self,
-        own: wire.StageRef,
+        own_ref: wire.StageRef,
         network: PeerNetwork,
-        directory: Directory,
+        directory: SideDirectory,
         picker: ChainPicker,
         clock: Clock,
         metrics: Metrics,
         policy: RecoveryPolicy,
-        suspects: SuspectClient,
+        quarantine: QuarantineClient,
     ) -> None:
-        self._own = own
+        self._own_ref = own_ref
         self._network = network
         self._directory = directory
         self._picker = picker
         self._clock = clock
         self._metrics = metrics
         self._policy = policy
-        self._suspects = suspects
+        self._quarantine = quarantine
         self._streams: dict[str, RunningStream] = {}
 
     def __len__(self) -> int:
@@ -130,31 +130,31 @@
 
     def start(self, request: StreamRequest) -> RunningStream | Refused:
         """Opens a stream, or refuses it because no chain is there."""
-        name = secrets.token_hex(_STREAM_BYTES)
+        name = secrets.token_hex(_STREAM_NAME_BYTES)
         end_ms = self._clock.now_ms() + request.deadline_ms
         stream = RunningStream(name, request, end_ms)
-        chain = self._begin(request)
+        chain = self._select_chain(request)
         if isinstance(chain, Refused):
             return chain
         self._streams[name] = stream
         self._open(stream, chain)
         return stream
 
-    def _begin(self, request: StreamRequest) -> Chain | Refused:
-        quarantined = self._suspects.refusal(request.fingerprint, Ran.NO)
+    def _select_chain(self, request: StreamRequest) -> Chain | Refused:
+        quarantined = self._quarantine.refusal(request.fingerprint, Ran.NO)
         if quarantined is not None:
             return quarantined
         chain = self._picker.pick(request, ())
         if chain is None:
             return _no_chain(Ran.NO)
-        return self._picker.refuse_late(chain, request) or chain
+        return self._picker.refuse_unmeetable_deadline(chain, request) or chain
 
     def end(self, stream: RunningStream) -> None:
         """Ends a stream at every stage; ending it twice does nothing."""
         if self._streams.pop(stream.wire_name, None) is None:
             return
         stream.on_end()
-        self._use(stream, None)
+        self._switch_chain(stream, None)
         if stream.tokens.complete:
             self._policy.budget.on_success(stream.request.client_account)
 
@@ -167,12 +167,12 @@
         if released:
             stream.output.put(released)
             length = token.position + 1
-            self._suspects.on_progress(stream.request.fingerprint, length)
+            self._quarantine.on_progress(stream.request.fingerprint, length)
         if stream.tokens.complete:
             stream.output.put(None)
             self.end(stream)
         elif stream.output.qsize() > stream.request.unread_tokens:
-            self._give_up(stream, _UNREAD)
+            self._abort(stream, _UNREAD_LIMIT_REACHED)
 
     def on_refusal(self, refusal: wire.StageRefusal) -> None:
         """Takes a stage's refusal; an older attempt's is dropped.
@@ -186,7 +186,7 @@
         self._metrics.count("stage_refusals", reason=refusal.reason)
         match refusal.reason:
             case StageFailure.HANDED_ON:
-                self._hand_on(stream, refusal.instance)
+                self._hand_over(stream, refusal.instance)
             case StageFailure.JOURNAL_LOST:
                 self._recover(stream, fresh=True)
             case StageFailure.PEER_UNREACHABLE:
@@ -207,14 +207,14 @@
                 stream.excluded.add(instance)
                 self._recover(stream)
 
-    def _hand_on(self, stream: RunningStream, instance: str) -> None:
+    def _hand_over(self, stream: RunningStream, instance: str) -> None:
         """Moves a stream off a leaving stage, if another can take it.
 
         If none can, the stream runs on where it is: the leaving stage waits
         for it as long as it may.
         """
         excluded = {*stream.excluded, instance}
-        chain = self._picker.replace(
+        chain = self._picker.replace_stages(
             stream.chain, stream.request.model, excluded
         )
         if chain is None:
@@ -225,30 +225,30 @@
         self._open(stream, chain)
 
     def _recover(self, stream: RunningStream, *, fresh: bool = False) -> None:
-        refused = self._may_recover(stream)
+        refused = self._check_recovery(stream)
         if refused is not None:
-            self._give_up(stream, refused)
+            self._abort(stream, refused)
             return
-        fresh = fresh or self._policy.way is RecoveryWay.FULL_PREFILL
+        fresh = fresh or self._policy.strategy is RecoveryStrategy.FULL_PREFILL
         chain = None
         if not fresh:
-            chain = self._picker.replace(
+            chain = self._picker.replace_stages(
                 stream.chain, stream.request.model, stream.excluded
             )
         if chain is None:
             chain = self._picker.pick(stream.request, stream.excluded)
         if chain is None:
-            self._give_up(stream, _no_chain(Ran.UNKNOWN))
+            self._abort(stream, _no_chain(Ran.UNKNOWN))
             return
         self._metrics.count("streams_recovered")
         self._open(stream, chain, fresh=fresh)
 
-    def _may_recover(self, stream: RunningStream) -> Refused | None:
+    def _check_recovery(self, stream: RunningStream) -> Refused | None:
         """Counts a failure; refuses when no retry is left.
 
         The caller gets its final answer at once, with when to come back.
         """
-        quarantined = self._suspects.refusal(
+        quarantined = self._quarantine.refusal(
             stream.request.fingerprint, Ran.UNKNOWN
         )
         if quarantined is not None:
@@ -280,10 +280,10 @@
         """Opens the next attempt; a fresh one drops all that stages keep."""
         if fresh:
             del self._streams[stream.wire_name]
-            self._use(stream, None)
-            stream.rename()
+            self._switch_chain(stream, None)
+            stream.renew_wire_name()
             self._streams[stream.wire_name] = stream
-        self._use(stream, chain)
+        self._switch_chain(stream, chain)
         attempt = stream.tokens.begin_attempt()
         if attempt > 1:
             log_state(
@@ -319,14 +319,14 @@
             max_length=stream.tokens.max_length,
             deadline_ms=max(1, stream.end_ms - self._clock.now_ms()),
             seed=request.seed,
-            entry=self._own,
+            entry=self._own_ref,
             weight=request.weight,
             account_weight=request.account_weight,
             fingerprint=request.fingerprint,
-            alone_until=self._suspects.alone_until(request.fingerprint),
+            alone_until=self._quarantine.isolate_until(request.fingerprint),
         )
 
-    def _use(self, stream: RunningStream, chain: Chain | None) -> None:
+    def _switch_chain(self, stream: RunningStream, chain: Chain | None) -> None:
         """Takes a chain into use and ends the stream where it has left.
 
         Guards against a cancel that ends a stage which lives on: a stage
@@ -334,28 +334,28 @@
         it along. A cancel of the whole stream is passed along, behind the
         open message on each connection, lest it overtakes that.
         """
-        before, stream.chain = stream.chain, chain
+        previous, stream.chain = stream.chain, chain
         if chain is not None:
-            self._count(chain, 1)
-        if before is None:
+            self._count_streams(chain, 1)
+        if previous is None:
             return
-        self._count(before, -1)
-        kept = chain.instances if chain is not None else ()
+        self._count_streams(previous, -1)
+        remaining = chain.instances if chain is not None else ()
         message = wire.Cancel(
             stream.wire_name, stream.tokens.attempt, chain is not None
         )
-        for index, stage in enumerate(before.stages):
-            if stage.instance in kept:
+        for index, stage in enumerate(previous.stages):
+            if stage.instance in remaining:
                 continue
             if self._network.is_connected(stage.instance):
-                self._network.send(_address(before, index), message)
+                self._network.send(_address(previous, index), message)
 
-    def _count(self, chain: Chain, change: int) -> None:
+    def _count_streams(self, chain: Chain, change: int) -> None:
         self._directory.add_streams(chain.instances, change)
         for instance in chain.instances:
             self._network.watch(instance, change)
 
-    def _give_up(self, stream: RunningStream, refused: Refused) -> None:
+    def _abort(self, stream: RunningStream, refused: Refused) -> None:
         self._metrics.count("streams_given_up", reason=refused.type)
         stream.output.put(refused)
         self.end(stream)
--- a/caroblug/entry/_subset.py
+++ b/caroblug/entry/_subset.py
@@ -6,10 +6,10 @@
 from caroblug.core.routing import Kind, choose_subset, choose_unknown
 from caroblug.gen.wire import ttypes as wire
 
-_ASKED_AT_ONCE = 32
+_PROBES_PER_ROUND = 32
 
 
-class Subset:
+class SideSubset:
     """Learns what instances serve, and keeps to some of each kind.
 
     The instance list does not say what an instance serves. Each is asked
@@ -24,7 +24,7 @@
         self.owner = owner
         self.size = size
         self._kinds: dict[str, Kind] = {}
-        self._asked: collections.Counter[str] = collections.Counter()
+        self._probe_counts: collections.Counter[str] = collections.Counter()
 
     @property
     def known(self) -> frozenset[str]:
@@ -41,7 +41,7 @@
                 report.end_layer or 0,
             )
 
-    def wanted(self, listed: Collection[str]) -> frozenset[str]:
+    def select(self, listed: Collection[str]) -> frozenset[str]:
         """Returns the listed instances to be connected with.
 
         Guards against instances that are listed but never answer: those that
@@ -50,13 +50,13 @@
         """
         for gone in self._kinds.keys() - set(listed):
             del self._kinds[gone]
-        for gone in self._asked.keys() - set(listed):
-            del self._asked[gone]
+        for gone in self._probe_counts.keys() - set(listed):
+            del self._probe_counts[gone]
         if len(listed) <= self.size:
             return frozenset(listed)
         unknown = [i for i in listed if i not in self._kinds]
-        fewest = min((self._asked[i] for i in unknown), default=0)
-        turn = [i for i in unknown if self._asked[i] == fewest]
-        asked = choose_unknown(self.owner, turn, _ASKED_AT_ONCE)
-        self._asked.update(asked)
-        return choose_subset(self.owner, self._kinds, self.size) | asked
+        fewest = min((self._probe_counts[i] for i in unknown), default=0)
+        candidates = [i for i in unknown if self._probe_counts[i] == fewest]
+        probed = choose_unknown(self.owner, candidates, _PROBES_PER_ROUND)
+        self._probe_counts.update(probed)
+        return choose_subset(self.owner, self._kinds, self.size) | probed
--- a/caroblug/entry/_loads.py
+++ b/caroblug/entry/_wait_estimator.py
@@ -3,19 +3,19 @@
 import attrs
 
 from caroblug.core.limits import EngineLoad, UnreportedStreams, estimate_wait_ms
-from caroblug.entry._report_age import trusted_until_ms
+from caroblug.entry._report_expiry import report_expiry_ms
 from caroblug.gen.wire import ttypes as wire
 from caroblug.utils import Clock
 
 
 @attrs.frozen
-class _Heard:
+class _EngineReport:
     model: str
     load: EngineLoad
-    until_ms: int
+    expires_ms: int
 
 
-class EngineLoads:
+class WaitEstimator:
     """The newest load report of each engine.
 
     Args:
@@ -26,14 +26,14 @@
     def __init__(self, clock: Clock, report_age_ms: int) -> None:
         self._clock = clock
         self._report_age_ms = report_age_ms
-        self._heard: dict[str, _Heard] = {}
-        self._opened = UnreportedStreams()
+        self._reports: dict[str, _EngineReport] = {}
+        self._unreported = UnreportedStreams()
 
     def on_report(self, report: wire.LoadReport) -> None:
         """Takes a load report."""
-        self._opened.on_report(report.instance)
+        self._unreported.on_report(report.instance)
         if not report.end_layer or report.leaving:
-            self._heard.pop(report.instance, None)
+            self._reports.pop(report.instance, None)
             return
         load = EngineLoad(
             report.first_layer,
@@ -42,20 +42,20 @@
             report.streams or 0,
             report.client_accounts or 0,
         )
-        self._heard[report.instance] = _Heard(
+        self._reports[report.instance] = _EngineReport(
             report.target,
             load,
-            trusted_until_ms(report, self._clock.now_ms(), self._report_age_ms),
+            report_expiry_ms(report, self._clock.now_ms(), self._report_age_ms),
         )
 
-    def forget(self, instance: str) -> None:
+    def remove(self, instance: str) -> None:
         """Drops an instance whose connection is lost."""
-        self._heard.pop(instance, None)
-        self._opened.on_report(instance)
+        self._reports.pop(instance, None)
+        self._unreported.on_report(instance)
 
     def on_open(self, instances: tuple[str, ...]) -> None:
         """Counts a stream that was opened at some engines."""
-        self._opened.on_open(instances)
+        self._unreported.on_open(instances)
 
     def wait_ms(self, model: str, layers: int, account_streams: int) -> float:
         """Returns the wait for each token that one more stream would meet.
@@ -66,11 +66,11 @@
         now_ms = self._clock.now_ms()
         loads = [
             attrs.evolve(
-                heard.load,
-                streams=heard.load.streams + self._opened.count(instance),
+                report.load,
+                streams=report.load.streams + self._unreported.count(instance),
             )
-            for instance, heard in self._heard.items()
-            if heard.model == model and now_ms <= heard.until_ms
+            for instance, report in self._reports.items()
+            if report.model == model and now_ms <= report.expires_ms
         ]
         if not loads:
             return 0.0
--- a/caroblug/entry/tests/test_directory.py
+++ b/caroblug/entry/tests/test_directory.py
@@ -1,7 +1,7 @@
 """Tests of what an entry knows of the side processes."""
 
 from caroblug.core.routing import report_interval_ms
-from caroblug.entry._directory import Directory
+from caroblug.entry._directory import SideDirectory
 from caroblug.gen.wire import ttypes as wire
 from caroblug.utils import ManualClock
 
@@ -33,7 +33,7 @@
     engine must not vanish between two reports.
     """
     clock = ManualClock()
-    directory = Directory(clock, report_age_ms=2000)
+    directory = SideDirectory(clock, report_age_ms=2000)
     directory.on_report(_report(3630))
     clock.advance(3630)
     assert len(directory.engines("dome-7b")) == 1
--- a/caroblug/entry/tests/test_suspects.py
+++ b/caroblug/entry/tests/test_quarantine.py
@@ -2,7 +2,7 @@
 
 from caroblug.core.limits import HomeEntries
 from caroblug.core.state import Quarantine
-from caroblug.entry._suspects import SuspectClient
+from caroblug.entry._quarantine import QuarantineClient
 from caroblug.gen.wire import ttypes as wire
 from caroblug.transport import PeerAddress
 from caroblug.utils import ManualClock, make_metrics
@@ -23,7 +23,7 @@
     a request may run, before the restarted one has read the instance list.
     """
     network, clock = _Network(), ManualClock()
-    client = SuspectClient(
+    client = QuarantineClient(
         network,
         HomeEntries("entry-a", 60_000),
         Quarantine,
--- a/caroblug/entry/tests/test_slow_reader.py
+++ b/caroblug/entry/tests/test_slow_reader.py
@@ -2,12 +2,12 @@
 
 from caroblug.core.limits import RetryBudget, RetryRule
 from caroblug.core.routing import Chain, Stage
-from caroblug.entry._directory import Directory
+from caroblug.entry._directory import SideDirectory
 from caroblug.entry._stream_request import StreamRequest
 from caroblug.entry._streams import (
     EntryStreams,
     RecoveryPolicy,
-    RecoveryWay,
+    RecoveryStrategy,
 )
 from caroblug.gen.wire import ttypes as wire
 from caroblug.utils import ManualClock, Refused, make_metrics
@@ -31,7 +31,7 @@
     def pick(self, request, excluded):
         return Chain((Stage("side-a", "127.0.0.1", 1, 0, 8),))
 
-    def refuse_late(self, chain, request):
+    def refuse_unmeetable_deadline(self, chain, request):
         return None
 
 
@@ -39,7 +39,7 @@
     def refusal(self, fingerprint, ran):
         return None
 
-    def alone_until(self, fingerprint):
+    def isolate_until(self, fingerprint):
         return 0
 
     def on_progress(self, fingerprint, length):
@@ -49,7 +49,7 @@
 def _policy():
     rule = RetryRule(3, 0.1, 1.0)
     budget = RetryBudget(rule, rule)
-    return RecoveryPolicy(3, RecoveryWay.REPLACE_STAGE, budget)
+    return RecoveryPolicy(3, RecoveryStrategy.REPLACE_STAGE, budget)
 
 
 def test_stream_that_nobody_reads_is_cancelled_and_gives_its_place_back():
@@ -63,7 +63,7 @@
     streams = EntryStreams(
         wire.StageRef("entry-a", "127.0.0.1", 2, 0, 0),
         network,
-        Directory(clock, 1000),
+        SideDirectory(clock, 1000),
         _Picker(),
         clock,
         make_metrics(),
--- a/caroblug/entry/tests/test_subset.py
+++ b/caroblug/entry/tests/test_subset.py
@@ -1,6 +1,6 @@
 """Which side processes an entry keeps connections with."""
 
-from caroblug.entry._subset import Subset
+from caroblug.entry._subset import SideSubset
 from caroblug.gen.wire import ttypes as wire
 
 _SIZE = 24
@@ -19,13 +19,13 @@
 
 def _settle(subset, listed, silent=()):
     """Connects to what is wanted until nothing new is learnt."""
-    most = 0
+    max_connected = 0
     for _ in range(60):
-        wanted = subset.wanted(listed)
-        most = max(most, len(wanted))
-        for instance in wanted - set(silent):
+        selected = subset.select(listed)
+        max_connected = max(max_connected, len(selected))
+        for instance in selected - set(silent):
             subset.on_report(_report(int(instance[1:])))
-    return wanted, most
+    return selected, max_connected
 
 
 def test_entry_of_a_large_fleet_keeps_to_its_subset():
@@ -35,14 +35,14 @@
     each engine from every entry.
     """
     listed = [f"e{n}" for n in range(780)]
-    subset = Subset("entry-a", _SIZE)
-    wanted, most = _settle(subset, listed)
-    assert len(wanted) <= _SIZE
-    assert most <= _SIZE + 32
-    layers = {_report(int(i[1:])).first_layer for i in wanted}
+    subset = SideSubset("entry-a", _SIZE)
+    selected, max_connected = _settle(subset, listed)
+    assert len(selected) <= _SIZE
+    assert max_connected <= _SIZE + 32
+    layers = {_report(int(i[1:])).first_layer for i in selected}
     assert layers == set(range(0, 24, 4))
-    other, _ = _settle(Subset("entry-b", _SIZE), listed)
-    assert other != wanted
+    other, _ = _settle(SideSubset("entry-b", _SIZE), listed)
+    assert other != selected
 
 
 def test_listed_instances_that_never_answer_hold_up_nobody():
@@ -53,7 +53,7 @@
     """
     listed = [f"e{n}" for n in range(200)]
     silent = {f"e{n}" for n in range(200) if n % 2}
-    subset = Subset("entry-a", _SIZE)
+    subset = SideSubset("entry-a", _SIZE)
     _settle(subset, listed, silent)
     alive = {f"e{n}" for n in range(200) if n % 2 == 0}
     assert alive <= subset.known
@@ -61,4 +61,4 @@
 
 def test_small_fleet_is_connected_whole():
     listed = [f"e{n}" for n in range(_SIZE)]
-    assert Subset("entry-a", _SIZE).wanted(listed) == set(listed)
+    assert SideSubset("entry-a", _SIZE).select(listed) == set(listed)
