--- a/caroblug/entry/_admission.py
+++ b/caroblug/entry/_admission.py
@@ -1,4 +1,9 @@
-"""Whether a completion may run: quarantine, load, shares, places."""
+"""Admission control for completions.
+
+A request is checked, in this order, against the quarantine, the load of the
+engines, the entry's own limit and the limits of its client account. Then it
+waits until no identical request runs that could still crash an engine.
+"""
 
 import attrs
 
@@ -22,13 +27,14 @@
 
 
 class Permit:
-    """What an admitted request holds; given back when it ends.
+    """Resources that an admitted request holds until it ends.
 
     Args:
-        admission: Where it is given back.
-        request: The request.
+        admission: Admission control that granted the permit.
+        request: The admitted request.
         sharing: The weights of prompt and generated tokens.
-        ticket: Its place among equal requests.
+        ticket: Position of the request in the run gate, which admits
+            identical requests one at a time.
     """
 
     def __init__(
@@ -46,16 +52,19 @@
         self._closed = False
 
     def on_tokens(self) -> None:
-        """Lets equal requests run: this one has run its whole prompt."""
+        """Opens the run gate for identical requests on the first tokens.
+
+        The first token shows that every stage has run the whole prompt.
+        """
         if not self._proved:
             self._proved = True
             self._admission.leave_run_gate(self, proved=True)
 
     def close(self, generated: int) -> None:
-        """Gives everything back; twice does nothing.
+        """Releases all resources; closing twice has no effect.
 
         Args:
-            generated: Tokens that the request had.
+            generated: Number of tokens generated for the request.
         """
         if self._closed:
             return
@@ -66,14 +75,14 @@
 
 
 class StreamAdmission:
-    """Refuses early and cheaply what can't be served well.
+    """Refuses requests that can't be served well, before they cost work.
 
     Args:
-        places: The entry's own places.
-        shares: The accounts' shares.
-        suspects: The quarantine.
-        loads: The engines' load.
-        retry_after: When refused callers come back.
+        stream_slots: Limits the streams open at this entry.
+        shares: Limits the streams and tokens of each client account.
+        quarantine: Refuses or delays requests that may crash engines.
+        wait_estimator: Estimates the wait from the engines' load reports.
+        retry_after: Spreads the retries of refused callers over time.
     """
 
     def __init__(
@@ -96,6 +105,9 @@
         Args:
             request: The request.
             bundle: The bundle in force.
+
+        Returns:
+            A permit to be closed when the request ends, or a refusal.
         """
         quarantined = self._quarantine.refusal(request.fingerprint, Ran.NO)
         if quarantined is not None:
@@ -110,11 +122,17 @@
         return self._enter_run_gate(request, account, bundle.sharing)
 
     def on_open(self, instances: tuple[str, ...]) -> None:
-        """Counts a stream that was opened at some engines."""
+        """Counts a stream that was opened at the given engines."""
         self._wait_estimator.on_open(instances)
 
     def leave_run_gate(self, permit: Permit, *, proved: bool) -> None:
-        """Lets requests that are equal to this one run."""
+        """Removes a request from the run gate.
+
+        Args:
+            permit: The request's permit.
+            proved: Whether the request has run its whole prompt, so that
+                identical requests may run.
+        """
         request = permit.request
         self._quarantine.leave(
             request.fingerprint,
@@ -124,7 +142,7 @@
         )
 
     def release_permit(self, permit: Permit, generated: int) -> None:
-        """Gives back a place, and the tokens that were not generated."""
+        """Releases the stream slot and refunds the unused tokens."""
         request = permit.request
         unused = request.max_tokens - generated
         self._shares.release_stream(
@@ -137,10 +155,14 @@
     ) -> Refused | None:
         """Refuses a stream whose tokens would come too slowly.
 
-        Guards against collapse under overload: streams that are all too slow
-        to be of use take the engines from those that could be finished, so
-        that the goodput falls as more is offered. An account with few
-        streams finds a spare part that those with many can't fill.
+        Prevents congestion collapse: streams that are too slow to be useful
+        take capacity from streams that could finish, so goodput falls as
+        the offered load rises.
+
+        Two bounds apply. The wait that this account's number of streams
+        leads to may reach `queue_ms`. The wait with all streams counted may
+        reach `_HEADROOM_FACTOR` times as much. An account with many streams
+        meets the first bound, which leaves headroom for accounts with few.
         """
         account_streams = self._shares.total_streams(request.client_account)
         wait_ms = self._wait_estimator.wait_ms(
@@ -157,20 +179,25 @@
         )
         if not overloaded and not late:
             return None
-        return self._refuse(RefusalType.OVERLOADED, "the engines are full")
+        return self._refuse(
+            RefusalType.OVERLOADED,
+            "the engines have no capacity for another stream",
+        )
 
     def _reserve(
         self, request: StreamRequest, account: ClientAccount, sharing: Sharing
     ) -> Refused | None:
         name = request.client_account
         if not self._stream_slots.take():
-            return self._refuse(RefusalType.OVERLOADED, "this instance is full")
+            return self._refuse(
+                RefusalType.OVERLOADED, "this instance has no free stream slots"
+            )
         rule = make_account_rule(account)
         if not self._shares.acquire_stream(name, rule):
             self._stream_slots.release()
             return self._refuse(
                 RefusalType.LIMIT_REACHED,
-                f"the account's {account.streams} streams are open already",
+                f"the account already has {account.streams} open streams",
             )
         cost = (
             sharing.prompt_weight * len(request.prompt)
@@ -181,7 +208,7 @@
             self._stream_slots.release()
             return self._refuse(
                 RefusalType.LIMIT_REACHED,
-                "the account's tokens for this minute are used",
+                "the account has used its tokens for this minute",
                 _TOKENS_RETRY_AFTER_MS,
             )
         return None
@@ -212,5 +239,5 @@
 
 
 def make_account_rule(account: ClientAccount) -> AccountRule:
-    """Returns what an account may use, as the bundle says."""
+    """Returns an account's limits from its entry in the bundle."""
     return AccountRule(account.streams, account.tokens_per_minute)
--- a/caroblug/entry/_api.py
+++ b/caroblug/entry/_api.py
@@ -1,4 +1,4 @@
-"""The callers' HTTP: which resource answers which path."""
+"""Routes of the HTTP API for callers."""
 
 import os
 import traceback
@@ -26,7 +26,7 @@
     clock: Clock,
     metrics: Metrics,
 ) -> falcon.App:
-    """Returns the application that serves callers."""
+    """Returns the Falcon application that serves callers."""
     app = falcon.App()
     app.add_error_handler(Exception, _handle_exception)
     app.add_error_handler(falcon.HTTPNotFound, _handle_not_found)
@@ -51,16 +51,16 @@
 
 
 def _handle_exception(request, response, error, params) -> None:
-    """Stops the process on a broken invariant, whose trace is logged.
+    """Logs an unhandled exception and exits if an invariant is broken.
 
-    Guards against falcon's own handler, which hides what was raised behind a
-    bare answer 500 and goes on serving from a state that is known to be bad.
+    Falcon's default handler responds with a bare 500 status. It hides the
+    exception and would continue to serve from a state known to be corrupt.
     """
     del request, params
     traceback.print_exception(error)
     if isinstance(error, AssertionError):
         os._exit(_EXIT_INVARIANT_BROKEN)
     refused = Refused(
-        RefusalType.BACKEND_FAILED, "the request failed here", Ran.UNKNOWN
+        RefusalType.BACKEND_FAILED, "internal error in the entry", Ran.UNKNOWN
     )
     write_refusal(response, refused)
--- a/caroblug/entry/_authentication.py
+++ b/caroblug/entry/_authentication.py
@@ -1,22 +1,27 @@
-"""Which client account a bearer key names."""
+"""Authenticates callers by their API key."""
 
 from caroblug.core.state import Bundle, key_matches, split_key
 from caroblug.utils import RefusalType, Refused
 
 _BEARER_PREFIX = "Bearer "
-_UNKNOWN_KEY = Refused(RefusalType.UNAUTHENTICATED, "the key is not known")
+_UNKNOWN_KEY = Refused(RefusalType.UNAUTHENTICATED, "the API key is unknown")
 
 
 def authenticate(bundle: Bundle, authorization: str | None) -> str | Refused:
-    """Returns the account whose key a request carries.
+    """Returns the client account that the request's API key belongs to.
 
     Args:
         bundle: The bundle in force.
-        authorization: The `Authorization` header.
+        authorization: Value of the `Authorization` header; None if absent.
+
+    Returns:
+        The name of the account, or a refusal if the key is missing or
+        unknown.
     """
     if not authorization or not authorization.startswith(_BEARER_PREFIX):
         return Refused(
-            RefusalType.UNAUTHENTICATED, "a bearer key must be given"
+            RefusalType.UNAUTHENTICATED,
+            "the Authorization header must carry a bearer key",
         )
     key = authorization[len(_BEARER_PREFIX) :].strip()
     account = split_key(key)
--- a/caroblug/entry/_chain_picker.py
+++ b/caroblug/entry/_chain_picker.py
@@ -1,4 +1,4 @@
-"""Picks chains for streams: a first one, and one in place of a broken one."""
+"""Selects chains of engines for new streams and for recovery."""
 
 from collections.abc import Collection
 
@@ -21,14 +21,14 @@
 
 
 class ChainPicker:
-    """Picks chains around what is excluded and around broken links.
+    """Selects chains that avoid excluded instances and broken links.
 
     Args:
-        directory: What is known of the engines.
-        chooser: Chooses whole chains.
+        directory: The known engines.
+        chooser: Strategy that chooses a complete chain.
         latencies: Latencies between data centres.
         clock: Source of time.
-        data_centre: Where this entry runs.
+        data_centre: Data centre of this entry.
     """
 
     def __init__(
@@ -47,11 +47,15 @@
         self._broken_links: dict[tuple[str, str], int] = {}
 
     def on_broken_link(self, sender: str, receiver: str) -> None:
-        """Notes that one side process cannot reach another.
+        """Records that one side process cannot reach another.
 
-        Guards against new streams over a link that is cut between two sides
-        which this entry reaches: each would first wait in vain. A broken
-        link is tried again after a while.
+        The entry may still reach both of them. Without this record every
+        new stream over the link would wait for a timeout first. A broken
+        link is tried again after `_BROKEN_LINK_RETRY_MS`.
+
+        Args:
+            sender: Instance that could not connect.
+            receiver: Instance that it could not reach.
         """
         now_ms = self._clock.now_ms()
         self._broken_links = {
@@ -62,9 +66,10 @@
         self._broken_links[sender, receiver] = now_ms + _BROKEN_LINK_RETRY_MS
 
     def on_peer_lost(self, instance: str) -> None:
-        """Forgets the broken links of an instance that is itself lost.
+        """Drops the broken links of an instance that has been lost.
 
-        It may come back at any moment, and its links were not to blame.
+        The instance was the cause, not its links. It may return at any
+        moment.
         """
         self._broken_links = {
             link: end_ms
@@ -75,10 +80,14 @@
     def pick(
         self, request: StreamRequest, excluded: Collection[str]
     ) -> Chain | None:
-        """Returns a whole chain, or None if there is none.
+        """Returns a complete chain, or None if there is none.
+
+        If every chain found has a broken link, returns the first choice
+        anyway, because the link may work again.
 
-        A chain over a broken link is better than none: the link may have
-        healed.
+        Args:
+            request: The request to run.
+            excluded: Instances that must not be used.
         """
         engines = self._directory.engines(request.model)
         skipped = set(excluded)
@@ -108,7 +117,7 @@
     def refuse_unmeetable_deadline(
         self, chain: Chain, request: StreamRequest
     ) -> Refused | None:
-        """Refuses a new request whose deadline can't be met."""
+        """Returns a refusal if the chain can't meet the request's deadline."""
         views = self._directory.chain_engines(chain)
         if len(views) < len(chain.stages):
             return None
@@ -123,7 +132,7 @@
             return None
         return Refused(
             RefusalType.DEADLINE_EXCEEDED,
-            "the deadline can't be met at the present load",
+            "the deadline can't be met at the current load",
             Ran.NO,
             missed.retry_after_ms,
         )
@@ -133,8 +142,17 @@
     ) -> Chain | None:
         """Returns the chain with only its excluded stages replaced.
 
-        The stages that live on keep their caches and journals, so that no
-        layer that still lives is run twice for a position.
+        The remaining stages keep their caches and journals, so their layers
+        need not run again for any position.
+
+        Args:
+            chain: The chain to repair.
+            model: The model that it runs.
+            excluded: Instances to replace and not to choose.
+
+        Returns:
+            The repaired chain; None if a stage has no replacement or a link
+            of the repaired chain is broken.
         """
         engines = self._directory.engines(model)
         data_centres = {
@@ -175,10 +193,13 @@
     def _can_replace(
         self, engine: EngineView, stage: Stage, neighbours: list[str]
     ) -> bool:
-        """Tells whether an engine can stand in for a stage.
+        """Returns whether an engine can replace a stage.
 
-        `beside` names the stages before and after it, empty if there is
-        none or it is to be replaced too.
+        Args:
+            engine: The candidate.
+            stage: The stage to replace.
+            neighbours: Instances of the stages before and after it; an empty
+                string if there is none.
         """
         before, after = neighbours
         return (
@@ -213,7 +234,7 @@
 def _replacement_cost(
     engine: EngineView, neighbours: list[str | None]
 ) -> tuple[int, float]:
-    """Ranks stand-ins: near the stages beside them, then by wait."""
+    """Returns a replacement's cost: remote neighbours first, then load."""
     remote_neighbours = sum(
         neighbour not in (None, engine.data_centre) for neighbour in neighbours
     )
