--- a/caroblug/entry/_completions.py
+++ b/caroblug/entry/_completions.py
@@ -1,4 +1,4 @@
-"""`POST /v1/chat/completions` and `POST /v1/completions`."""
+"""HTTP resource for chat and text completions."""
 
 from collections.abc import Iterator
 from typing import Any
@@ -33,14 +33,23 @@
 
 @attrs.frozen
 class _ParsedRequest:
-    """A request body that was read and parsed."""
+    """A parsed completion and the size of its body."""
 
     completion: Completion
     body_bytes: int
 
 
 class CompletionsResource:
-    """`POST /v1/chat/completions` and `POST /v1/completions`."""
+    """Handles `POST /v1/chat/completions` or `POST /v1/completions`.
+
+    Args:
+        guard: Authenticates requests and reads their bodies.
+        streams: The entry's streams.
+        admission: Admission control.
+        clock: Source of time.
+        metrics: Where requests and refusals are counted.
+        chat: Whether responses have the chat format.
+    """
 
     def __init__(
         self,
@@ -62,7 +71,7 @@
     def on_post(
         self, request: falcon.Request, response: falcon.Response
     ) -> None:
-        """Answers a completion, whole or streamed."""
+        """Responds to a completion request, streamed or in one piece."""
         received_ms = self._clock.now_ms()
         checked = self._guard.authenticate_request(request)
         if isinstance(checked, Refused):
@@ -148,7 +157,7 @@
         account: str,
         refused: Refused,
     ) -> None:
-        """Counts a request refused at the door under its model."""
+        """Counts a request that was refused before its stream started."""
         if completion.model not in bundle.models:
             return
         self._metrics.count(
@@ -168,10 +177,11 @@
 
 
 class SseStream:
-    """The body of a streamed answer.
+    """Response body of server-sent events.
 
-    The server calls `close` also when the caller goes away before the first
-    byte, which a plain generator would not notice.
+    The server also calls `close` when the caller disconnects before the first
+    byte. Closing a generator that has not started runs none of its code, so
+    the stream would not end.
     """
 
     def __init__(
@@ -189,7 +199,7 @@
         return self._events
 
     def close(self) -> None:
-        """Ends the stream at every stage."""
+        """Stops the events and ends the stream at every stage."""
         self._events.close()
         self._reader.close()
 
--- a/caroblug/entry/_directory.py
+++ b/caroblug/entry/_directory.py
@@ -1,4 +1,4 @@
-"""What one entry knows of the side processes, from their own reports."""
+"""Directory of the side processes, built from their load reports."""
 
 from collections.abc import Collection
 
@@ -13,7 +13,7 @@
 
 @attrs.define
 class PlainServiceView:
-    """What the entry knows of one plain service's side process."""
+    """State of one side process of a plain service."""
 
     address: PeerAddress
     service: str
@@ -26,7 +26,7 @@
 
     Args:
         clock: Source of time.
-        report_age_ms: Least age at which a report no longer counts.
+        report_age_ms: Minimum age at which a load report expires.
     """
 
     def __init__(self, clock: Clock, report_age_ms: int) -> None:
@@ -41,7 +41,7 @@
         return len(self._engines) + len(self._plain_services)
 
     def on_report(self, report: wire.LoadReport) -> None:
-        """Takes a load report."""
+        """Updates the directory from a load report."""
         leaving = report.leaving or report.instance in self._listed_leaving
         self._expires_ms[report.instance] = report_expiry_ms(
             report, self._clock.now_ms(), self._report_age_ms
@@ -57,10 +57,13 @@
             self._engines[report.instance].leaving = True
 
     def on_listed(self, leaving: Collection[str]) -> None:
-        """Learns which instances the platform lists as leaving.
+        """Marks instances that the platform lists as leaving.
 
-        Guards against a side process that does not know that its instance
-        is taken away: it would go on to report itself as usable.
+        A side process may not know that its instance is being withdrawn. Its
+        own reports would continue to show it as available.
+
+        Args:
+            leaving: Names of all instances listed as leaving.
         """
         self._listed_leaving = frozenset(leaving)
         for instance in self._listed_leaving:
@@ -69,13 +72,13 @@
                     view[instance].leaving = True
 
     def remove(self, instance: str) -> None:
-        """Drops an instance whose connection is lost."""
+        """Removes an instance whose connection is lost."""
         self._engines.pop(instance, None)
         self._plain_services.pop(instance, None)
         self._expires_ms.pop(instance, None)
 
     def engines(self, model: str) -> list[EngineView]:
-        """Returns the engines of a model with a report young enough."""
+        """Returns the engines of a model whose last report has not expired."""
         return [
             engine
             for engine in self._engines.values()
@@ -83,7 +86,7 @@
         ]
 
     def plain_services(self, service: str) -> list[PlainServiceView]:
-        """Returns the side processes of a plain service that take calls."""
+        """Returns the side processes of a plain service that accept calls."""
         return [
             view
             for view in self._plain_services.values()
@@ -93,7 +96,7 @@
         ]
 
     def chain_engines(self, chain: Chain) -> list[EngineView]:
-        """Returns the engines of a chain that are known, in order."""
+        """Returns those engines of a chain that are known, in chain order."""
         return [
             self._engines[instance]
             for instance in chain.instances
@@ -101,12 +104,12 @@
         ]
 
     def own_streams(self, instance: str) -> int:
-        """Returns how many of this entry's streams an engine runs."""
+        """Returns the number of this entry's streams at an engine."""
         engine = self._engines.get(instance)
         return engine.own_streams if engine is not None else 0
 
     def add_streams(self, instances: tuple[str, ...], change: int) -> None:
-        """Adds to the count of this entry's own streams at engines."""
+        """Adds `change` to the count of this entry's streams at engines."""
         for instance in instances:
             engine = self._engines.get(instance)
             if engine is not None:
--- a/caroblug/entry/_latency_prober.py
+++ b/caroblug/entry/_latency_prober.py
@@ -1,4 +1,4 @@
-"""Latencies to the other data centres, measured from this entry."""
+"""Measures latencies from this entry to the other data centres."""
 
 import collections
 
@@ -11,15 +11,15 @@
 
 
 class LatencyProber:
-    """Asks one peer in each other data centre how long its answer takes.
+    """Measures round trips to one peer in each other data centre.
 
-    The least of the last few round trips counts: what a busy process adds
-    to some of them is not the link's.
+    The minimum of the last `_MAX_SAMPLES` round trips counts, because a busy
+    process adds delays that are not the link's.
 
     Args:
-        data_centre: Where this entry runs.
-        network: Connections with the side processes.
-        latencies: Where the latencies are kept.
+        data_centre: Data centre of this entry.
+        network: Connections to other instances.
+        latencies: Table to update.
         clock: Source of time.
     """
 
@@ -38,7 +38,7 @@
         self._rounds = 0
 
     def probe(self) -> None:
-        """Sends one probe to each other data centre, to peers in turn."""
+        """Probes one peer in each other data centre, in rotation."""
         peers: dict[str, list[PeerAddress]] = {}
         for peer in self._network.peers:
             if peer.data_centre != self._data_centre:
@@ -49,7 +49,7 @@
             self._network.send(target, wire.LinkProbe(self._clock.now_ms()))
 
     def on_probe(self, peer: PeerAddress, probe: wire.LinkProbe) -> None:
-        """Takes a peer's answer; one to an old probe counts as well."""
+        """Records a round trip; late answers to earlier probes count too."""
         if not probe.answer:
             return
         samples = self._round_trips_ms.setdefault(
--- a/caroblug/entry/_limits.py
+++ b/caroblug/entry/_limits.py
@@ -1,4 +1,4 @@
-"""Shares, load and quarantine of one entry, wired together."""
+"""Assembles admission control and routes its messages."""
 
 import random
 from collections.abc import Sequence
@@ -27,12 +27,12 @@
 
 
 class EntryLimits:
-    """What decides whether a request runs, and what other entries hear.
+    """Admission control with the messages that keep it up to date.
 
     Args:
         settings: The entry's settings.
-        network: Where messages are sent.
-        bundles: The bundle in force.
+        network: Sends messages to other instances.
+        bundles: Provides the bundle in force.
         clock: Source of time.
         metrics: Where refusals and reports are counted.
     """
@@ -63,12 +63,12 @@
         )
 
     def start(self) -> None:
-        """Starts reporting to the accounts' homes."""
+        """Starts the reports to home entries and the run gate's timeouts."""
         gevent.spawn(self.shares.run)
         gevent.spawn(self.quarantine.run)
 
     def on_listed(self, listed: Sequence[InstanceRecord]) -> None:
-        """Takes what the instance list shows."""
+        """Updates the known entries from the instance list."""
         entries = [
             PeerAddress(r.instance, r.host, r.port)
             for r in listed
@@ -78,7 +78,7 @@
         self.quarantine.on_listed(entries)
 
     def on_frame(self, peer: PeerAddress, frame: wire.Frame) -> None:
-        """Takes what a frame says of loads, shares and suspects."""
+        """Handles load reports, shares, suspicions and run requests."""
         for report in frame.reports or ():
             self.wait_estimator.on_report(report)
         for demand in frame.demands or ():
@@ -93,7 +93,7 @@
             self.quarantine.on_run_admitted(admitted)
 
     def on_peer_lost(self, instance: str) -> None:
-        """Takes it that an instance can't be reached."""
+        """Drops state that depends on an unreachable instance."""
         self.wait_estimator.remove(instance)
         self.shares.on_peer_lost(instance)
         self.quarantine.on_peer_lost(instance)
--- a/caroblug/entry/_request_guard.py
+++ b/caroblug/entry/_request_guard.py
@@ -1,4 +1,4 @@
-"""What every request is asked first: bundle, client account, body."""
+"""Checks shared by all HTTP resources: readiness, account, body size."""
 
 import falcon
 
@@ -16,11 +16,11 @@
 
 
 class RequestGuard:
-    """What every resource asks first: bundle, account, body.
+    """Authenticates requests and reads their bodies.
 
     Args:
-        bundles: The bundle in force.
-        lifetime: Whether the program is leaving.
+        bundles: Provides the bundle in force.
+        lifetime: Tells whether the program still accepts requests.
     """
 
     def __init__(self, bundles: BundleFollower, lifetime: Lifetime) -> None:
@@ -30,7 +30,15 @@
     def authenticate_request(
         self, request: falcon.Request
     ) -> tuple[Head, str] | Refused:
-        """Returns the head and the client account, or a refusal."""
+        """Returns the head in force and the request's client account.
+
+        Args:
+            request: The request to authenticate.
+
+        Returns:
+            The head and the name of the account; a refusal if this instance
+            is not ready or the key is not valid.
+        """
         head = self._bundles.newest_head()
         if head is None or not self._lifetime.accepting:
             return _NOT_READY
@@ -40,7 +48,7 @@
         return head, account
 
     def read_body(self, request: falcon.Request, limit: int) -> bytes | Refused:
-        """Returns the body, or refuses one over `limit` bytes."""
+        """Returns the body, or a refusal if it is over `limit` bytes."""
         if (request.content_length or 0) <= limit:
             body = request.bounded_stream.read(limit + 1)
             if len(body) <= limit:
@@ -49,7 +57,7 @@
 
 
 def body_too_large(limit: int) -> Refused:
-    """Returns the refusal of a body that is over `limit` bytes."""
+    """Returns the refusal for a body of more than `limit` bytes."""
     return Refused(
         RefusalType.BODY_TOO_LARGE, f"the body is over {limit} bytes"
     )
--- a/caroblug/entry/_stream_reader.py
+++ b/caroblug/entry/_stream_reader.py
@@ -1,4 +1,4 @@
-"""From a running stream to its caller, timed and always ended."""
+"""Passes the tokens of a running stream on to its HTTP response."""
 
 from collections.abc import Callable, Iterator
 
@@ -20,14 +20,26 @@
 _RETRY_AFTER_MS = 1000
 _DEADLINE_EXCEEDED = Refused(
     RefusalType.DEADLINE_EXCEEDED,
-    "the answer took too long",
+    "the deadline passed before the response was complete",
     Ran.UNKNOWN,
     _RETRY_AFTER_MS,
 )
 
 
 class StreamReader:
-    """Iterates over what a stream releases; ends it whatever happens."""
+    """Iterates over the tokens of a stream and records their latency.
+
+    Yields lists of tokens. A refusal, if there is one, comes last. The stream
+    ends when the iteration does, also on an error or when the caller
+    disconnects.
+
+    Args:
+        stream: The stream to read.
+        streams: The entry's streams, which end it.
+        permit: The request's permit.
+        clock: Source of time.
+        metrics: Where latencies and outcomes are recorded.
+    """
 
     def __init__(
         self,
@@ -47,7 +59,7 @@
         self._closed = False
 
     def start_timing(self, received_ms: int, group: str) -> None:
-        """Notes when the request came and under which group it counts."""
+        """Sets the start time and the group for this request's metrics."""
         self._received_ms = received_ms
         self._group = group
 
@@ -80,14 +92,18 @@
             self._finish(outcome)
 
     def close(self) -> None:
-        """Ends the stream and gives its place back; twice does nothing."""
+        """Ends the stream, which closes its permit; idempotent."""
         if self._closed:
             return
         self._closed = True
         self._streams.end(self.stream)
 
     def _start_deadline(self) -> gevent.Greenlet:
-        """Starts one timer for the whole stream: one a token costs 10 µs."""
+        """Starts a timer that ends the stream at its deadline.
+
+        There is one timer per stream because a timer costs 10 µs, which is
+        too much for each token.
+        """
         left_ms = max(0, self.stream.end_ms - self._clock.now_ms())
         return gevent.spawn_later(
             left_ms / _MS_PER_S, self.stream.output.put, _DEADLINE_EXCEEDED
