--- a/caroblug/entry/_models.py
+++ b/caroblug/entry/_models.py
@@ -1,4 +1,4 @@
-"""`GET /v1/models`."""
+"""HTTP resource for the list of models."""
 
 import falcon
 
@@ -8,7 +8,11 @@
 
 
 class ModelsResource:
-    """`GET /v1/models`."""
+    """Handles `GET /v1/models`.
+
+    Args:
+        guard: Authenticates requests.
+    """
 
     def __init__(self, guard: RequestGuard) -> None:
         self._guard = guard
--- a/caroblug/entry/_plain_service_client.py
+++ b/caroblug/entry/_plain_service_client.py
@@ -1,4 +1,4 @@
-"""Calls of plain services, from the entry to a side process."""
+"""Client for calls of plain services through side processes."""
 
 import copy
 import secrets
@@ -22,7 +22,7 @@
 
 @attrs.frozen
 class _AttemptResult:
-    """What came of one sending; `reply` is None if the peer was lost."""
+    """Result of one attempt; `reply` is None if the peer was lost."""
 
     instance: str
     sent_ms: int
@@ -31,7 +31,7 @@
 
 @attrs.frozen
 class _PendingAttempt:
-    """One sending of a call that waits for its reply."""
+    """An attempt that waits for its reply."""
 
     instance: str
     sent_ms: int
@@ -39,7 +39,7 @@
 
 
 class _CallAttempts:
-    """All sendings of one call."""
+    """All attempts of one call."""
 
     def __init__(self, call: wire.PlainCall, deadline_ms: int) -> None:
         self.call = call
@@ -50,11 +50,11 @@
 
 
 class PlainServiceClient:
-    """Calls plain services, repeating only what may be repeated.
+    """Calls plain services and retries a call only where that is safe.
 
     Args:
-        network: Where calls are sent.
-        directory: What is known of the services.
+        network: Sends calls to side processes.
+        directory: The known side processes of each service.
         clock: Source of time.
         metrics: Where attempts are counted.
     """
@@ -79,11 +79,18 @@
     def call(
         self, call: wire.PlainCall, rule: ServiceRule
     ) -> wire.PlainReply | Refused:
-        """Makes a call and waits for its answer.
+        """Sends a call and waits for its reply.
 
-        A call that may not be repeated is sent once more only when its side
-        process has said that it did not run. One that may be is also sent
-        again when it fails or takes long, within the budget.
+        A call that is not repeatable is retried only if the side process
+        reports that it did not run. A repeatable call is also retried when it
+        fails and hedged when it is slow, within the hedging budget.
+
+        Args:
+            call: The call to send.
+            rule: The service's rule from the bundle.
+
+        Returns:
+            The service's reply, or a refusal.
         """
         attempts = _CallAttempts(call, self._clock.now_ms() + rule.timeout_ms)
         hedging = self._hedging.setdefault(call.target, Hedging())
@@ -97,11 +104,11 @@
                 self._remove(call_id)
 
     def on_reply(self, reply: wire.PlainReply) -> None:
-        """Takes a reply; one that nobody waits for is dropped."""
+        """Completes the attempt that a reply belongs to, if it still waits."""
         self._complete(reply.call, reply)
 
     def on_peer_lost(self, instance: str) -> None:
-        """Ends the wait for replies from an instance."""
+        """Completes all attempts at a lost instance without a reply."""
         for call_id, attempt in list(self._pending.items()):
             if attempt.instance == instance:
                 self._complete(call_id, None)
@@ -135,8 +142,9 @@
     def _retry(
         self, attempts: _CallAttempts, hedging: Hedging, refused: Refused
     ) -> bool:
-        # An instance that leaves has done nothing: asking another one adds
-        # no load, and a restart must not use up the budget.
+        # A draining instance refuses a call before doing any work. A retry
+        # at another instance adds no load, and a restart must not use up
+        # the budget.
         if refused.type is RefusalType.LEAVING:
             return len(attempts.tried) < _MAX_ATTEMPTS and self._send(attempts)
         return self._resend(attempts, hedging, "retry")
@@ -219,17 +227,18 @@
 def _no_reply() -> Refused:
     return Refused(
         RefusalType.OUTCOME_UNKNOWN,
-        "no answer from the service",
+        "no reply from the service",
         Ran.UNKNOWN,
         _RETRY_AFTER_MS,
     )
 
 
 def _is_retryable(call: wire.PlainCall, refused: Refused) -> bool:
-    """Tells whether another instance may be asked after a refusal.
+    """Returns whether a refused call may be retried at another instance.
 
-    A key's owner may have left an intent on the log, which another owner
-    could only answer by `unknown`; one that leaves has not begun.
+    The owner of an idempotency key may have written an intent to the log.
+    Another owner could only reply to that with an unknown outcome, so a call
+    with a key is retried only if its owner is draining and has not begun.
     """
     if call.repeatable:
         return True
@@ -239,7 +248,10 @@
 
 
 def _rank(call: wire.PlainCall, view: PlainServiceView) -> int:
-    """Rendezvous rank: every entry sends a key to the same instance."""
+    """Returns the rendezvous rank of an instance for the call's key.
+
+    Every entry thus sends a key to the same instance.
+    """
     text = f"{call.client_account}\0{call.key}\0{view.address.instance}"
     return xxhash.xxh64_intdigest(text.encode())
 
@@ -247,6 +259,6 @@
 def _no_instance(service: str) -> Refused:
     return Refused(
         RefusalType.NO_CAPACITY,
-        f"no instance of {service!r} takes calls",
+        f"no instance of {service!r} accepts calls",
         retry_after_ms=_RETRY_AFTER_MS,
     )
--- a/caroblug/entry/_refusals.py
+++ b/caroblug/entry/_refusals.py
@@ -1,4 +1,4 @@
-"""Refusals as HTTP answers."""
+"""Conversion of refusals to HTTP responses."""
 
 import math
 from typing import Any
@@ -26,7 +26,7 @@
 
 
 def refusal_body(refused: Refused) -> dict[str, Any]:
-    """Returns the body that every refusal has."""
+    """Returns the JSON body of a refusal."""
     return {
         "error": {
             "type": refused.type.value,
@@ -38,7 +38,7 @@
 
 
 def write_refusal(response: falcon.Response, refused: Refused) -> None:
-    """Turns an answer into a refusal."""
+    """Writes a refusal's status, body and `Retry-After` header."""
     response.status = _STATUS.get(refused.type, falcon.HTTP_503)
     response.media = refusal_body(refused)
     if refused.retry_after_ms:
--- a/caroblug/entry/_requests.py
+++ b/caroblug/entry/_requests.py
@@ -1,4 +1,4 @@
-"""Callers' requests: parsed and checked, every mistake named."""
+"""Parsing and validation of completion requests."""
 
 import hashlib
 import secrets
@@ -30,10 +30,10 @@
 
 @attrs.frozen(kw_only=True)
 class Message:
-    """One message of a chat."""
+    """One message of a chat prompt."""
 
-    role: str = text("Who speaks.", high=32)
-    content: str = text("What is said.", low=0, high=10_000_000)
+    role: str = text("Role of the author.", high=32)
+    content: str = text("Text of the message.", low=0, high=10_000_000)
     name: str = ""
 
 
@@ -55,14 +55,21 @@
 
     @property
     def text(self) -> str:
-        """The whole prompt as text."""
+        """The complete prompt as text."""
         if not self.messages:
             return self.prompt
         return "\n".join(f"{m.role}: {m.content}" for m in self.messages)
 
 
 def parse_completion(body: bytes) -> Completion | Refused:
-    """Parses a request body, or says everything that is wrong with it."""
+    """Parses a request body.
+
+    Args:
+        body: The body, expected to be JSON.
+
+    Returns:
+        The completion, or a refusal that lists every problem found.
+    """
     try:
         table: Any = orjson.loads(body)
     except orjson.JSONDecodeError as error:
@@ -75,7 +82,7 @@
             "; ".join(f"{p.key} {p.message}" for p in parsed.problems)
         )
     if not parsed.text.strip():
-        return _bad_request("messages or prompt must hold text")
+        return _bad_request("messages or prompt must contain text")
     return parsed
 
 
@@ -85,13 +92,16 @@
     client_account: str,
     body_bytes: int,
 ) -> StreamRequest | Refused:
-    """Checks a completion against the bundle in force.
+    """Checks a completion against the bundle and builds its stream request.
 
     Args:
         completion: The request.
         bundle: The bundle in force.
-        client_account: Whose request it is.
+        client_account: The account that sent the request.
         body_bytes: Size of its body.
+
+    Returns:
+        The request to run, or a refusal.
     """
     model = bundle.models.get(completion.model)
     if model is None:
@@ -124,14 +134,14 @@
 
 
 def make_fingerprint(client_account: str, service: str, body: bytes) -> str:
-    """Returns what equal requests of an account have in common.
+    """Returns a digest that identical requests of an account share.
 
     Args:
-        client_account: Whose request it is.
+        client_account: The account that sent the request.
         service: Its model or plain service.
-        body: What the engine is given: the prompt, or the call. Settings of
-            the sampling are left out, so that a bad request sent again with
-            another seed is known.
+        body: Input of the engine: the prompt, or the call. Sampling
+            parameters are left out, so that a request that crashes engines
+            is recognised when it is sent again with another seed.
     """
     digest = hashlib.blake2b(digest_size=_FINGERPRINT_BYTES)
     for part in (client_account.encode(), service.encode(), body):
--- a/caroblug/entry/_response_formats.py
+++ b/caroblug/entry/_response_formats.py
@@ -1,4 +1,4 @@
-"""The shapes of answers in the two dialects that callers speak."""
+"""JSON formats of chat and text completions."""
 
 import abc
 import time
@@ -14,7 +14,13 @@
 
 
 class ResponseFormat(abc.ABC):
-    """The shape of answers in one of the two dialects."""
+    """JSON format of a response, complete or in chunks.
+
+    Attributes:
+        id_prefix: Prefix of the response's id.
+        response_object: Value of `object` in a complete response.
+        chunk_object: Value of `object` in a chunk.
+    """
 
     id_prefix = ""
     response_object = ""
@@ -22,7 +28,7 @@
 
     @abc.abstractmethod
     def format_choice(self, text: str) -> dict[str, Any]:
-        """Returns the part of a whole answer that carries its text."""
+        """Returns the part of a complete response that carries its text."""
 
     @abc.abstractmethod
     def format_delta(self, text: str) -> dict[str, Any]:
@@ -31,7 +37,7 @@
     def format_response(
         self, stream: RunningStream, tokenizer: Tokenizer, tokens: list[int]
     ) -> dict[str, Any]:
-        """Returns a whole answer."""
+        """Returns a complete response."""
         prompt = len(stream.request.prompt)
         body = self._base(stream, self.response_object)
         body["choices"] = [
@@ -51,7 +57,7 @@
     def format_chunk(
         self, stream: RunningStream, text: str, finish: str | None = None
     ) -> dict[str, Any]:
-        """Returns one chunk of a streamed answer."""
+        """Returns one chunk of a streamed response."""
         body = self._base(stream, self.chunk_object)
         body["choices"] = [
             {"index": 0, "finish_reason": finish, **self.format_delta(text)}
@@ -69,17 +75,17 @@
 
 @attrs.frozen
 class ChunkTemplate:
-    """The bytes of a stream's chunks around their text.
+    """Encoded parts of a stream's chunks before and after their text.
 
-    All chunks of a stream but the last differ only in their text, and only
-    that is encoded for each token.
+    All chunks of a stream but the last differ only in their text. With the
+    template only the text is encoded for each token.
     """
 
     head: bytes
     tail: bytes
 
     def event(self, text: str) -> bytes:
-        """Returns the server-sent event of one chunk."""
+        """Returns the server-sent event with one chunk of text."""
         return self.head + orjson.dumps(text) + self.tail
 
 
@@ -93,14 +99,14 @@
 
 
 class ChatFormat(ResponseFormat):
-    """The shape of `/v1/chat/completions`."""
+    """Format of `/v1/chat/completions`."""
 
     id_prefix = "chatcmpl"
     response_object = "chat.completion"
     chunk_object = "chat.completion.chunk"
 
     def format_choice(self, text: str) -> dict[str, Any]:
-        """Returns the part of a whole answer that carries its text."""
+        """Returns the part of a complete response that carries its text."""
         return {"message": {"role": "assistant", "content": text}}
 
     def format_delta(self, text: str) -> dict[str, Any]:
@@ -109,14 +115,14 @@
 
 
 class TextFormat(ResponseFormat):
-    """The shape of `/v1/completions`."""
+    """Format of `/v1/completions`."""
 
     id_prefix = "cmpl"
     response_object = "text_completion"
     chunk_object = "text_completion"
 
     def format_choice(self, text: str) -> dict[str, Any]:
-        """Returns the part of a whole answer that carries its text."""
+        """Returns the part of a complete response that carries its text."""
         return {"text": text}
 
     def format_delta(self, text: str) -> dict[str, Any]:
--- a/caroblug/entry/_wait_estimator.py
+++ b/caroblug/entry/_wait_estimator.py
@@ -1,4 +1,4 @@
-"""How long a new stream would wait, from the engines' load reports."""
+"""Estimates the wait of a new stream from the engines' load reports."""
 
 import attrs
 
@@ -16,11 +16,13 @@
 
 
 class WaitEstimator:
-    """The newest load report of each engine.
+    """Estimates waits from the latest load report of each engine.
+
+    Streams opened since an engine's last report are added to its load.
 
     Args:
         clock: Source of time.
-        report_age_ms: Least age at which a report no longer counts.
+        report_age_ms: Minimum age at which a load report expires.
     """
 
     def __init__(self, clock: Clock, report_age_ms: int) -> None:
@@ -30,7 +32,7 @@
         self._unreported = UnreportedStreams()
 
     def on_report(self, report: wire.LoadReport) -> None:
-        """Takes a load report."""
+        """Updates an engine's load from its report."""
         self._unreported.on_report(report.instance)
         if not report.end_layer or report.leaving:
             self._reports.pop(report.instance, None)
@@ -49,19 +51,25 @@
         )
 
     def remove(self, instance: str) -> None:
-        """Drops an instance whose connection is lost."""
+        """Removes an instance whose connection is lost."""
         self._reports.pop(instance, None)
         self._unreported.on_report(instance)
 
     def on_open(self, instances: tuple[str, ...]) -> None:
-        """Counts a stream that was opened at some engines."""
+        """Counts a stream that was opened at the given engines."""
         self._unreported.on_open(instances)
 
     def wait_ms(self, model: str, layers: int, account_streams: int) -> float:
-        """Returns the wait for each token that one more stream would meet.
+        """Returns the expected wait per token of one more stream.
+
+        Args:
+            model: The model to run.
+            layers: Number of its layers.
+            account_streams: Streams that the account has at all entries.
 
-        Without any report the answer is 0: the chain chooser knows better
-        than this whether there is a chain at all.
+        Returns:
+            The wait in milliseconds; 0 without any report, because the chain
+            chooser decides whether a chain exists.
         """
         now_ms = self._clock.now_ms()
         loads = [
