--- a/caroblug/entry/__init__.py
+++ b/caroblug/entry/__init__.py
@@ -1,4 +1,4 @@
-"""The entry program: callers' HTTP on one side, chains on the other."""
+"""Entry program: accepts HTTP requests and runs them on engine chains."""
 
 from caroblug.entry._server import serve
 from caroblug.entry._settings import EntrySettings
--- a/caroblug/entry/_quarantine.py
+++ b/caroblug/entry/_quarantine.py
@@ -1,4 +1,8 @@
-"""Requests that crash engines: what is known, and one at a time."""
+"""Quarantine of requests that crash engines.
+
+Identical requests run one at a time until one of them has run its whole
+prompt, so that a harmful request can't crash many engines at once.
+"""
 
 from collections.abc import Callable, Iterable
 
@@ -38,12 +42,15 @@
 
 
 class QuarantineClient:
-    """Keeps quarantined requests out and equal requests in line.
+    """Refuses quarantined requests and serialises identical requests.
+
+    The home entry of a client account coordinates the account's requests
+    among all entries.
 
     Args:
-        network: Where messages are sent.
-        homes: Which entry is whose home.
-        rule: Returns the bundle's rule.
+        network: Sends messages to other instances.
+        home_entries: Maps each account to its home entry.
+        rule: Returns the quarantine rule of the bundle in force.
         clock: Source of time.
         metrics: Where quarantines are counted.
     """
@@ -69,11 +76,11 @@
         self._waiting: dict[Ticket, tuple[str, event.Event]] = {}
 
     def on_listed(self, entries: Iterable[PeerAddress]) -> None:
-        """Takes the live entries that the instance list shows."""
+        """Updates the available entries from the instance list."""
         self._entries = {entry.instance: entry for entry in entries}
 
     def run(self) -> None:
-        """Takes away places held for too long, for ever."""
+        """Removes requests that held the run gate too long, in a loop."""
         while True:
             gevent.sleep(_TICK_S)
             now_ms = self._clock.now_ms()
@@ -83,18 +90,23 @@
             self._metrics.gauge("quarantined_requests", quarantined)
 
     def isolate_until(self, fingerprint: str) -> int:
-        """Returns the position up to which a request is to run alone."""
+        """Returns the position up to which a request must run in isolation."""
         return self._known.isolate_until(fingerprint, self._clock.now_ms())
 
     def refusal(self, fingerprint: str, ran: Ran) -> Refused | None:
-        """Returns the refusal of a quarantined request, else None."""
+        """Returns a refusal if a request is quarantined, else None.
+
+        Args:
+            fingerprint: The request.
+            ran: Whether it may have run, for the refusal.
+        """
         now_ms = self._clock.now_ms()
         if self._known.verdict(fingerprint, now_ms) is not Verdict.QUARANTINED:
             return None
         left_ms = self._known.remaining_ms(fingerprint, now_ms)
         return Refused(
             RefusalType.QUARANTINED,
-            "this request has made backend servers crash",
+            "the request is quarantined because it crashed backend servers",
             ran,
             max(1, min(left_ms, self._rule().retry_after_ms)),
         )
@@ -102,15 +114,18 @@
     def enter(
         self, fingerprint: str, client_account: str, timeout_ms: int
     ) -> Ticket | Refused:
-        """Waits until no equal request runs that is not proved yet.
+        """Waits until no identical unproved request runs.
+
+        A request is proved when an identical one has run its whole prompt.
 
         Args:
             fingerprint: The request.
-            client_account: Whose it is: its home keeps the line.
-            timeout_ms: How long to wait.
+            client_account: The account that sent it; its home entry queues
+                identical requests.
+            timeout_ms: Maximum time to wait.
 
         Returns:
-            What to give to `leave`, or a refusal.
+            A ticket to pass to `leave`, or a refusal.
         """
         if self._gate.is_proved(fingerprint, self._clock.now_ms()):
             return self.refusal(fingerprint, Ran.NO) or Ticket("", 0)
@@ -127,7 +142,7 @@
         if refused is None and not admitted:
             refused = Refused(
                 RefusalType.LIMIT_REACHED,
-                "an equal request is still running",
+                "an identical request is still running",
                 retry_after_ms=_RETRY_AFTER_MS,
             )
         if refused is not None:
@@ -143,13 +158,14 @@
         *,
         proved: bool = False,
     ) -> None:
-        """Lets equal requests run; leaving twice does nothing.
+        """Removes a request from the run gate; leaving twice has no effect.
 
         Args:
             fingerprint: The request.
-            client_account: Whose it is.
-            ticket: What `enter` returned.
-            proved: Whether it has had its first token.
+            client_account: The account that sent it.
+            ticket: The ticket that `enter` returned.
+            proved: Whether the request has produced its first token. If so,
+                all identical requests may run, else the next one in line.
         """
         if not ticket.number:
             return
@@ -163,18 +179,18 @@
         self._leave_locally(fingerprint, ticket, proved=proved)
 
     def on_progress(self, fingerprint: str, length: int) -> None:
-        """Clears a request that has run on past where a crash met it.
+        """Clears suspicions of a request that has run past a crash's position.
 
         Args:
             fingerprint: The request.
-            length: Its tokens, prompt included.
+            length: Number of its tokens, prompt included.
         """
         now_ms = self._clock.now_ms()
         for suspicion in self._known.clear(fingerprint, length, now_ms):
             self._forward_to_home(suspicion)
 
     def on_suspicion(self, message: wire.Suspicion) -> None:
-        """Takes news of a crash, and passes it on if it is news."""
+        """Records a suspicion; one that is new is forwarded to the home."""
         suspicion = suspicion_from_wire(message)
         now_ms = self._clock.now_ms()
         before = self._known.verdict(suspicion.fingerprint, now_ms)
@@ -196,11 +212,15 @@
     def on_run_request(
         self, peer: PeerAddress, message: wire.RunRequest
     ) -> None:
-        """Takes a request that wants to run, as its account's home.
+        """Admits or queues another entry's request, as its account's home.
+
+        A home entry that has just started may not have read the instance
+        list. It replies to the requesting entry whether or not that is
+        listed, because the request would otherwise wait until its deadline.
 
-        Guards against a home that has just started and has not read the
-        instance list yet: it answers whoever asked it, listed or not, or the
-        request would wait for its turn until its deadline.
+        Args:
+            peer: The requesting entry.
+            message: The request to enter or to leave the run gate.
         """
         self._requesters[peer.instance] = peer
         ticket = Ticket(peer.instance, message.number)
@@ -214,7 +234,7 @@
             self._admit(message.fingerprint, ticket)
 
     def on_run_admitted(self, message: wire.RunAdmitted) -> None:
-        """Lets a request run that its account's home has admitted."""
+        """Starts a waiting request that its account's home has admitted."""
         for known in message.known or ():
             self.on_suspicion(known)
         waiting = self._waiting.get(
@@ -224,7 +244,7 @@
             waiting[1].set()
 
     def on_peer_lost(self, instance: str) -> None:
-        """Frees the places of a lost entry; waits no more for a lost home."""
+        """Removes a lost entry's requests and ends waits for a lost home."""
         requester = self._requesters.pop(instance, None)
         if requester is None and instance not in self._entries:
             return
@@ -258,7 +278,7 @@
     def _enter_locally(
         self, fingerprint: str, ticket: Ticket, timeout_ms: int
     ) -> bool:
-        """Waits in this entry's own line: as home, or for want of one."""
+        """Waits in this entry's run gate, as the home or if none replied."""
         if timeout_ms <= 0:
             return False
         if self._gate.enter(fingerprint, ticket, self._clock.now_ms()):
@@ -302,7 +322,10 @@
         )
 
     def _forward_to_home(self, suspicion: Suspicion) -> None:
-        """Tells the account's home, which tells whoever asks it."""
+        """Sends a suspicion to the account's home, which informs entries.
+
+        The home adds what it knows when it admits an entry's request.
+        """
         home = self._home_entries.home_of(suspicion.client_account)
         if home != self._home_entries.own and home in self._entries:
             self._network.send(
--- a/caroblug/entry/_server.py
+++ b/caroblug/entry/_server.py
@@ -1,4 +1,4 @@
-"""The entry program: wires its parts together."""
+"""Server of the entry program, assembled from its components."""
 
 import random
 from collections.abc import Sequence
@@ -50,10 +50,10 @@
 
 
 class EntryServer(PeerHandler):
-    """One entry instance.
+    """An entry instance.
 
     Args:
-        settings: Its settings.
+        settings: Settings of the instance.
     """
 
     def __init__(self, settings: EntrySettings) -> None:
@@ -124,17 +124,18 @@
 
     @property
     def ready(self) -> bool:
-        """Whether callers may be sent here."""
+        """Whether the load balancer may send requests to this instance."""
         if self.lifetime.leaving or not self.bundles.ready:
             return False
         return self._has_engines_for_all_layers()
 
     def _has_engines_for_all_layers(self) -> bool:
-        """Tells whether every model has engines for all of its layers.
+        """Returns whether every model has engines for all of its layers.
 
-        Guards against an entry that has just started, is sent callers and
-        refuses them for want of engines it has not heard of yet. After a
-        while it takes it that there are none to hear of.
+        An entry that has just started has no load reports yet. If it were
+        ready, it would refuse requests although engines are available. After
+        `_ENGINE_DISCOVERY_TIMEOUT_MS` it becomes ready regardless, because
+        the missing engines may not exist.
         """
         if (
             self._clock.now_ms() - self._started_ms
@@ -164,7 +165,7 @@
         self.network.stop()
 
     def on_frame(self, peer: PeerAddress, frame: wire.Frame) -> None:
-        """Takes a frame from a side process or another entry."""
+        """Dispatches the messages of a frame to their components."""
         self.fleet.on_frame(peer, frame)
         self.limits.on_frame(peer, frame)
         for report in frame.reports or ():
@@ -181,11 +182,11 @@
             self.service_client.on_reply(reply)
 
     def on_peer_up(self, peer: PeerAddress) -> None:
-        """Waits for the peer's first report."""
+        """Registers a new peer; its first report adds it to the directory."""
         self.fleet.on_peer_up(peer)
 
     def on_peer_lost(self, peer: PeerAddress, reason: str) -> None:
-        """Recovers what ran at the peer."""
+        """Drops the peer's state and recovers streams and calls it ran."""
         del reason
         self.fleet.on_peer_lost(peer)
         self.directory.remove(peer.instance)
@@ -213,7 +214,7 @@
         return app
 
     def _on_head(self, head: Head) -> None:
-        """Needs nothing: every request reads the head anew."""
+        """Does nothing, because every request reads the current head."""
 
     def _watch_instances(self) -> None:
         while True:
--- a/caroblug/entry/_services.py
+++ b/caroblug/entry/_services.py
@@ -1,4 +1,4 @@
-"""`ANY /services/NAME/PATH`: calls of plain services."""
+"""HTTP sink for calls of plain services."""
 
 import falcon
 
@@ -15,7 +15,14 @@
 
 
 class ServicesSink:
-    """`ANY /services/NAME/PATH`."""
+    """Handles `/services/NAME/PATH` for every HTTP method.
+
+    Args:
+        guard: Authenticates requests and reads their bodies.
+        client: Sends calls to side processes.
+        clock: Source of time.
+        metrics: Where calls are counted.
+    """
 
     def __init__(
         self,
@@ -33,7 +40,7 @@
     def __call__(
         self, request: falcon.Request, response: falcon.Response, **parts: str
     ) -> None:
-        """Passes a call on to the named service."""
+        """Forwards a call to the service named in the path."""
         received_ms = self._clock.now_ms()
         checked = self._guard.authenticate_request(request)
         if isinstance(checked, Refused):
@@ -92,14 +99,14 @@
     def _call_limited(
         self, call: wire.PlainCall, rule: ServiceRule
     ) -> wire.PlainReply | Refused:
-        """Makes a call, unless the account has too many open here."""
+        """Makes a call unless the account has reached its limit here."""
         key = (call.target, call.client_account)
         limiter = self._limiters.setdefault(key, ConcurrencyLimiter(rule.calls))
         limiter.limit = rule.calls
         if not limiter.take():
             return Refused(
                 RefusalType.LIMIT_REACHED,
-                f"the account's {rule.calls} calls are open already",
+                f"the account already has {rule.calls} open calls",
                 retry_after_ms=_RETRY_AFTER_MS,
             )
         try:
--- a/caroblug/entry/_shares.py
+++ b/caroblug/entry/_shares.py
@@ -1,4 +1,4 @@
-"""Shares of client accounts among entries: reports out, grants in."""
+"""Limits of client accounts, shared among entries by short-term grants."""
 
 from collections.abc import Callable, Iterable
 
@@ -26,12 +26,15 @@
 
 
 class ShareClient:
-    """Asks the accounts' homes for grants, and is home to some itself.
+    """Requests grants from the accounts' home entries and issues its own.
+
+    Each account has a home entry that divides the account's limits among all
+    entries. This entry is itself the home of some accounts.
 
     Args:
-        network: Where messages are sent.
-        homes: Which entry is whose home.
-        rule_of: Returns the rule of an account; None if there is none.
+        network: Sends messages to other entries.
+        home_entries: Maps each account to its home entry.
+        get_rule: Returns the limits of an account; None if it is unknown.
         clock: Source of time.
         metrics: Where reports are counted.
     """
@@ -57,20 +60,24 @@
         self._grant_events: dict[str, event.Event] = {}
 
     def on_listed(self, entries: Iterable[PeerAddress]) -> None:
-        """Takes the live entries that the instance list shows."""
+        """Updates the available entries from the instance list."""
         self._entries = {entry.instance: entry for entry in entries}
         now_ms = self._clock.now_ms()
         self._home_entries.on_listed(self._entries, now_ms)
         self._own_shares.on_listed(self._home_entries.entries)
 
     def run(self) -> None:
-        """Reports what is due, for ever."""
+        """Sends due reports in an endless loop."""
         while True:
             gevent.sleep(_TICK_S)
             self._send_due_reports()
 
     def acquire_stream(self, client_account: str, rule: AccountRule) -> bool:
-        """Takes a place for a stream; may wait a little for the home."""
+        """Reserves a stream; waits up to `_GRANT_TIMEOUT_S` for each grant.
+
+        Returns:
+            Whether the account may open one more stream.
+        """
         now_ms = self._clock.now_ms()
         self._own_shares.touch(client_account, rule, now_ms)
         if not self._own_shares.has_grant(client_account, now_ms):
@@ -88,7 +95,11 @@
     def spend_tokens(
         self, client_account: str, rule: AccountRule, tokens: float
     ) -> bool:
-        """Uses weighted tokens, if there are any left this minute."""
+        """Charges weighted tokens to the account, if enough are left.
+
+        Returns:
+            Whether the tokens were charged.
+        """
         now_ms = self._clock.now_ms()
         if self._own_shares.spend(client_account, rule, tokens, now_ms):
             return True
@@ -98,7 +109,7 @@
         return self._own_shares.spend(client_account, rule, tokens, now_ms)
 
     def release_stream(self, client_account: str, unused_tokens: float) -> None:
-        """Closes a stream and gives back tokens that it did not use."""
+        """Closes a stream and refunds its unused tokens."""
         self._own_shares.close_stream(client_account)
         self._own_shares.refund(client_account, unused_tokens)
 
@@ -108,11 +119,11 @@
         return self._own_shares.stream_weight(client_account, weight, now_ms)
 
     def total_streams(self, client_account: str) -> int:
-        """Returns the account's streams at all entries, as last heard."""
+        """Returns the account's streams at all entries, as last reported."""
         return self._own_shares.total_streams(client_account)
 
     def on_demand(self, peer: PeerAddress, demand: wire.ShareDemand) -> None:
-        """Takes a report as the account's home and answers with a grant."""
+        """Handles a report as the account's home and replies with a grant."""
         account = demand.client_account
         grant = self._grant(
             peer.instance, account, Demand(demand.streams, demand.used)
@@ -125,14 +136,14 @@
         self._network.send(peer, message)
 
     def on_grant(self, message: wire.ShareGrant) -> None:
-        """Takes a grant from an account's home."""
+        """Applies a grant from an account's home entry."""
         grant = Grant(
             message.streams, message.tokens, message.total, message.term_ms
         )
         self._apply_grant(message.client_account, grant)
 
     def on_peer_lost(self, instance: str) -> None:
-        """Lets nobody wait for an answer from a home that is gone."""
+        """Ends all waits for grants from a lost home entry."""
         if instance not in self._entries:
             return
         self._disconnected_ms[instance] = self._clock.now_ms()
@@ -141,10 +152,10 @@
                 granted.set()
 
     def _request_grant(self, client_account: str) -> bool:
-        """Reports an account now and waits for the grant.
+        """Sends a report for an account and waits for the grant.
 
         Returns:
-            Whether a newer grant may have come.
+            Whether a newer grant may have arrived.
         """
         now_ms = self._clock.now_ms()
         home = self._home_entries.home_of(client_account)
--- a/caroblug/entry/_stream_request.py
+++ b/caroblug/entry/_stream_request.py
@@ -1,24 +1,24 @@
-"""A completion that was admitted, as the streams take it."""
+"""Request for a stream, built from a completion."""
 
 import attrs
 
 
 @attrs.frozen(kw_only=True)
 class StreamRequest:
-    """A completion that was admitted.
+    """A validated completion, ready to run as a stream.
 
     Attributes:
-        client_account: Whose request it is.
-        weight: The stream's weight: its part of the account's.
-        account_weight: The account's share relative to others.
-        model: The model.
-        layers: Its number of layers.
-        prompt: The prompt's tokens.
-        max_tokens: Tokens to generate.
-        deadline_ms: How long it may take.
-        seed: Seed of the sampling.
-        fingerprint: What equal requests of the account have in common.
-        unread_tokens: Tokens that may wait for the caller to read them.
+        client_account: The account that sent the request.
+        weight: Scheduling weight of the stream, a part of the account's.
+        account_weight: Weight of the account relative to other accounts.
+        model: Name of the model.
+        layers: Number of the model's layers.
+        prompt: Tokens of the prompt.
+        max_tokens: Number of tokens to generate.
+        deadline_ms: Maximum duration of the stream.
+        seed: Seed for sampling.
+        fingerprint: Digest that identical requests of the account share.
+        unread_tokens: Maximum number of tokens buffered for a slow caller.
     """
 
     client_account: str
--- a/caroblug/entry/_streams.py
+++ b/caroblug/entry/_streams.py
@@ -1,4 +1,4 @@
-"""The streams of one entry: attempts, tokens released, recovery."""
+"""Streams of an entry: attempts, token delivery and recovery."""
 
 import enum
 import secrets
@@ -29,21 +29,22 @@
 _RETRY_AFTER_MS = 1000
 _UNREAD_LIMIT_REACHED = Refused(
     RefusalType.LIMIT_REACHED,
-    "the caller does not read its answer",
+    "the caller is not reading the response",
     Ran.YES,
     _RETRY_AFTER_MS,
 )
 
 
 class RunningStream:
-    """One stream and the queue by which its caller is fed.
+    """A stream and the output queue that its response reads.
 
-    The queue carries lists of tokens, in order, then None when the stream is
-    complete, or a `Refused` when it is given up.
+    The queue carries lists of tokens in order, then None when the stream is
+    complete or a `Refused` when it is aborted.
 
     Attributes:
-        wire_name: Its name at the stages. A fresh start takes another name,
-            so that no stage answers from what it has kept.
+        wire_name: Name of the stream at the stages. An attempt with a full
+            prefill uses another name, so that no stage responds from state
+            that it retains.
     """
 
     def __init__(self, name: str, request: StreamRequest, end_ms: int) -> None:
@@ -60,7 +61,7 @@
         self.on_end: Callable[[], None] = _do_nothing
 
     def renew_wire_name(self) -> None:
-        """Takes the next name at the stages."""
+        """Replaces the name at the stages by one that is not in use."""
         self.wire_name = f"{self.name}-{self.tokens.attempt}"
 
 
@@ -69,7 +70,7 @@
 
 
 class RecoveryStrategy(enum.StrEnum):
-    """What is tried first when a stage is lost."""
+    """Strategy to try first when a stage is lost."""
 
     REPLACE_STAGE = "replace_stage"
     FULL_PREFILL = "full_prefill"
@@ -77,12 +78,13 @@
 
 @attrs.frozen
 class RecoveryPolicy:
-    """How streams are recovered.
+    """Policy for the recovery of streams.
 
     Attributes:
-        attempts: Attempts that may fail for one request.
-        way: What is tried first; the other way is the fallback.
-        budget: Grants each recovery.
+        attempts: Number of failures at which a request is aborted.
+        strategy: Strategy to try first. If no engine can replace a lost
+            stage, the stream moves to another chain.
+        budget: Retry budget that each recovery draws on.
     """
 
     attempts: int
@@ -91,17 +93,17 @@
 
 
 class EntryStreams:
-    """Every stream of this entry.
+    """Opens, recovers and ends the streams of this entry.
 
     Args:
-        own: Reference by which sides reach this entry.
-        network: Where messages are sent.
-        directory: What is known of the engines.
-        picker: Picks chains.
+        own_ref: Reference by which side processes reach this entry.
+        network: Sends messages to side processes.
+        directory: The known engines.
+        picker: Selects chains.
         clock: Source of time.
         metrics: Where attempts are counted.
-        policy: How streams are recovered.
-        suspects: What is known of requests that crash engines.
+        policy: Policy for recovery.
+        quarantine: Requests that crash engines.
     """
 
     def __init__(
@@ -129,7 +131,15 @@
         return len(self._streams)
 
     def start(self, request: StreamRequest) -> RunningStream | Refused:
-        """Opens a stream, or refuses it because no chain is there."""
+        """Opens a stream at a chain of engines, or refuses the request.
+
+        Args:
+            request: The admitted request.
+
+        Returns:
+            The stream, or a refusal if the request is quarantined, no chain
+            is available or the deadline can't be met.
+        """
         name = secrets.token_hex(_STREAM_NAME_BYTES)
         end_ms = self._clock.now_ms() + request.deadline_ms
         stream = RunningStream(name, request, end_ms)
@@ -150,7 +160,7 @@
         return self._picker.refuse_unmeetable_deadline(chain, request) or chain
 
     def end(self, stream: RunningStream) -> None:
-        """Ends a stream at every stage; ending it twice does nothing."""
+        """Ends a stream at every stage; idempotent."""
         if self._streams.pop(stream.wire_name, None) is None:
             return
         stream.on_end()
@@ -159,7 +169,10 @@
             self._policy.budget.on_success(stream.request.client_account)
 
     def on_token(self, token: wire.Token) -> None:
-        """Takes a token from a last stage, or sent again by a first."""
+        """Delivers a token from a last stage, or re-sent by a first stage.
+
+        Aborts the stream if its caller leaves too many tokens unread.
+        """
         stream = self._streams.get(token.stream)
         if stream is None or not stream.tokens.is_current(token.attempt):
             return
@@ -175,10 +188,11 @@
             self._abort(stream, _UNREAD_LIMIT_REACHED)
 
     def on_refusal(self, refusal: wire.StageRefusal) -> None:
-        """Takes a stage's refusal; an older attempt's is dropped.
+        """Recovers a stream that a stage refused.
 
-        A lost journal is nobody's fault: the stream begins afresh and the
-        stage that said so stays in use.
+        A refusal of an earlier attempt is ignored. A lost journal does not
+        mean that the stage is faulty: the stream restarts with a full
+        prefill and may use the stage again.
         """
         stream = self._streams.get(refusal.stream)
         if stream is None or not stream.tokens.is_current(refusal.attempt):
@@ -200,7 +214,7 @@
                 self._recover(stream)
 
     def on_peer_lost(self, instance: str) -> None:
-        """Recovers every stream that had a stage there."""
+        """Recovers every stream that has a stage at a lost instance."""
         self._picker.on_peer_lost(instance)
         for stream in list(self._streams.values()):
             if instance in stream.chain.instances:
@@ -208,10 +222,10 @@
                 self._recover(stream)
 
     def _hand_over(self, stream: RunningStream, instance: str) -> None:
-        """Moves a stream off a leaving stage, if another can take it.
+        """Moves a stream from a draining stage to another engine.
 
-        If none can, the stream runs on where it is: the leaving stage waits
-        for it as long as it may.
+        If no engine can replace the stage, the stream continues there: a
+        draining stage waits for its streams as long as its drain time allows.
         """
         excluded = {*stream.excluded, instance}
         chain = self._picker.replace_stages(
@@ -244,9 +258,9 @@
         self._open(stream, chain, fresh=fresh)
 
     def _check_recovery(self, stream: RunningStream) -> Refused | None:
-        """Counts a failure; refuses when no retry is left.
+        """Counts a failure and returns a refusal if no retry is allowed.
 
-        The caller gets its final answer at once, with when to come back.
+        The refusal tells the caller at once when to retry.
         """
         quarantined = self._quarantine.refusal(
             stream.request.fingerprint, Ran.UNKNOWN
@@ -277,7 +291,14 @@
     def _open(
         self, stream: RunningStream, chain: Chain, *, fresh: bool = False
     ) -> None:
-        """Opens the next attempt; a fresh one drops all that stages keep."""
+        """Opens the next attempt of a stream.
+
+        Args:
+            stream: The stream.
+            chain: The chain to open it at.
+            fresh: Whether to restart with a full prefill, without the state
+                that stages retain.
+        """
         if fresh:
             del self._streams[stream.wire_name]
             self._switch_chain(stream, None)
@@ -327,12 +348,17 @@
         )
 
     def _switch_chain(self, stream: RunningStream, chain: Chain | None) -> None:
-        """Takes a chain into use and ends the stream where it has left.
+        """Switches a stream to a chain and cancels it at stages not in it.
+
+        A cancel must not end a stage that remains in use. A replaced stage
+        therefore gets a cancel with the attempt that it knows, marked as not
+        to be forwarded. A cancel of the whole stream is also forwarded from
+        stage to stage. On each connection it then follows the open message
+        and can't overtake it.
 
-        Guards against a cancel that ends a stage which lives on: a stage
-        that was replaced is told by the attempt it knows, and does not pass
-        it along. A cancel of the whole stream is passed along, behind the
-        open message on each connection, lest it overtakes that.
+        Args:
+            stream: The stream.
+            chain: The new chain; None to end the stream.
         """
         previous, stream.chain = stream.chain, chain
         if chain is not None:
--- a/caroblug/entry/_subset.py
+++ b/caroblug/entry/_subset.py
@@ -1,4 +1,4 @@
-"""Which side processes this entry is connected with."""
+"""Selection of the side processes that an entry connects to."""
 
 import collections
 from collections.abc import Collection
@@ -10,14 +10,15 @@
 
 
 class SideSubset:
-    """Learns what instances serve, and keeps to some of each kind.
+    """Selects side processes so that every kind of service is covered.
 
-    The instance list does not say what an instance serves. Each is asked
-    once, a few at a time, by connecting to it; its first report tells.
+    The instance list does not show what an instance serves. The entry
+    therefore connects to unknown instances, a few at a time, until their
+    first load report arrives.
 
     Args:
         owner: Name of the entry.
-        size: Engines to be connected with.
+        size: Number of engines to connect to.
     """
 
     def __init__(self, owner: str, size: int) -> None:
@@ -28,11 +29,11 @@
 
     @property
     def known(self) -> frozenset[str]:
-        """Instances that have said what they serve."""
+        """Instances that have reported what they serve."""
         return frozenset(self._kinds)
 
     def on_report(self, report: wire.LoadReport) -> None:
-        """Learns what an instance serves."""
+        """Records what an instance serves."""
         if report.target:
             self._kinds[report.instance] = Kind(
                 report.target,
@@ -42,11 +43,13 @@
             )
 
     def select(self, listed: Collection[str]) -> frozenset[str]:
-        """Returns the listed instances to be connected with.
+        """Returns the listed instances to connect to.
 
-        Guards against instances that are listed but never answer: those that
-        were asked least often come first, so that they do not hold up the
-        others.
+        Unknown instances that were probed least often come first. Listed
+        instances that never report thus can't block the others.
+
+        Args:
+            listed: Names of all listed side processes.
         """
         for gone in self._kinds.keys() - set(listed):
             del self._kinds[gone]
--- a/caroblug/entry/_tokenizer.py
+++ b/caroblug/entry/_tokenizer.py
@@ -1,4 +1,4 @@
-"""Text to tokens and back."""
+"""Tokenizers for model prompts and responses."""
 
 import abc
 
@@ -6,7 +6,7 @@
 
 
 class Tokenizer(abc.ABC):
-    """Turns text into tokens of a model and back."""
+    """Converts text to a model's tokens and back."""
 
     @abc.abstractmethod
     def encode(self, text: str) -> list[int]:
@@ -14,14 +14,14 @@
 
     @abc.abstractmethod
     def decode(self, tokens: list[int]) -> str:
-        """Returns the text of some tokens."""
+        """Returns the text of a list of tokens."""
 
 
 class WordTokenizer(Tokenizer):
-    """One token for each word, by its hash; made for stand-in models.
+    """Maps each word to a token by its hash; made for stand-in models.
 
     Args:
-        vocabulary: Number of tokens.
+        vocabulary: Number of distinct tokens.
     """
 
     def __init__(self, vocabulary: int) -> None:
@@ -40,5 +40,5 @@
 
 
 def make_tokenizer(vocabulary: int) -> Tokenizer:
-    """Returns the tokenizer of a model."""
+    """Returns a tokenizer for a model's vocabulary."""
     return WordTokenizer(vocabulary)
