--- a/caroblug/entry/_limits.py
+++ b/caroblug/entry/_limits.py
@@ -27,7 +27,7 @@
 
 
 class EntryLimits:
-    """Admission control with the messages that keep it up to date.
+    """Connects admission control to the network and the instance list.
 
     Args:
         settings: The entry's settings.
--- a/caroblug/entry/_quarantine.py
+++ b/caroblug/entry/_quarantine.py
@@ -68,7 +68,7 @@
         self._rule = rule
         self._clock = clock
         self._metrics = metrics
-        self._known = Suspicions()
+        self._suspicions = Suspicions()
         self._gate = RunGate(_RUN_GATE_TERM_MS)
         self._entries: dict[str, PeerAddress] = {}
         self._requesters: dict[str, PeerAddress] = {}
@@ -86,12 +86,12 @@
             now_ms = self._clock.now_ms()
             for fingerprint, ticket in self._gate.drop_expired(now_ms):
                 self._admit(fingerprint, ticket)
-            quarantined = self._known.count_quarantined(now_ms)
+            quarantined = self._suspicions.count_quarantined(now_ms)
             self._metrics.gauge("quarantined_requests", quarantined)
 
     def isolate_until(self, fingerprint: str) -> int:
         """Returns the position up to which a request must run in isolation."""
-        return self._known.isolate_until(fingerprint, self._clock.now_ms())
+        return self._suspicions.isolate_until(fingerprint, self._clock.now_ms())
 
     def refusal(self, fingerprint: str, ran: Ran) -> Refused | None:
         """Returns a refusal if a request is quarantined, else None.
@@ -101,9 +101,12 @@
             ran: Whether it may have run, for the refusal.
         """
         now_ms = self._clock.now_ms()
-        if self._known.verdict(fingerprint, now_ms) is not Verdict.QUARANTINED:
+        if (
+            self._suspicions.verdict(fingerprint, now_ms)
+            is not Verdict.QUARANTINED
+        ):
             return None
-        left_ms = self._known.remaining_ms(fingerprint, now_ms)
+        left_ms = self._suspicions.remaining_ms(fingerprint, now_ms)
         return Refused(
             RefusalType.QUARANTINED,
             "the request is quarantined because it crashed backend servers",
@@ -186,20 +189,20 @@
             length: Number of its tokens, prompt included.
         """
         now_ms = self._clock.now_ms()
-        for suspicion in self._known.clear(fingerprint, length, now_ms):
+        for suspicion in self._suspicions.clear(fingerprint, length, now_ms):
             self._forward_to_home(suspicion)
 
     def on_suspicion(self, message: wire.Suspicion) -> None:
         """Records a suspicion; one that is new is forwarded to the home."""
         suspicion = suspicion_from_wire(message)
         now_ms = self._clock.now_ms()
-        before = self._known.verdict(suspicion.fingerprint, now_ms)
-        if not self._known.on_suspicion(suspicion, now_ms):
+        before = self._suspicions.verdict(suspicion.fingerprint, now_ms)
+        if not self._suspicions.on_suspicion(suspicion, now_ms):
             return
         self._metrics.count("suspicions")
         self._gate.revoke_proved(suspicion.fingerprint)
         self._forward_to_home(suspicion)
-        after = self._known.verdict(suspicion.fingerprint, now_ms)
+        after = self._suspicions.verdict(suspicion.fingerprint, now_ms)
         if after is Verdict.QUARANTINED and before is not after:
             log_state(
                 "request.quarantined",
@@ -212,7 +215,7 @@
     def on_run_request(
         self, peer: PeerAddress, message: wire.RunRequest
     ) -> None:
-        """Admits or queues another entry's request, as its account's home.
+        """Handles another entry's use of the run gate, as the account's home.
 
         A home entry that has just started may not have read the instance
         list. It replies to the requesting entry whether or not that is
@@ -220,7 +223,7 @@
 
         Args:
             peer: The requesting entry.
-            message: The request to enter or to leave the run gate.
+            message: The request that enters or leaves the run gate.
         """
         self._requesters[peer.instance] = peer
         ticket = Ticket(peer.instance, message.number)
@@ -251,9 +254,9 @@
         now_ms = self._clock.now_ms()
         for fingerprint, ticket in self._gate.drop_entry(instance, now_ms):
             self._admit(fingerprint, ticket)
-        for home, answer in list(self._waiting.values()):
+        for home, reply_received in list(self._waiting.values()):
             if home == instance:
-                answer.set()
+                reply_received.set()
 
     def _enter_at_home(
         self,
@@ -265,15 +268,15 @@
         home = self._home_entries.home_of(client_account)
         if home == self._home_entries.own or home not in self._entries:
             return False
-        answer = event.Event()
-        self._waiting[ticket] = (home, answer)
+        reply_received = event.Event()
+        self._waiting[ticket] = (home, reply_received)
         message = wire.RunRequest(fingerprint, ticket.number, leave=False)
         self._network.send(self._entries[home], message)
         try:
-            answered = answer.wait(timeout_ms / _MS_PER_S)
+            replied = reply_received.wait(timeout_ms / _MS_PER_S)
         finally:
             del self._waiting[ticket]
-        return answered and self._network.is_connected(home)
+        return replied and self._network.is_connected(home)
 
     def _enter_locally(
         self, fingerprint: str, ticket: Ticket, timeout_ms: int
@@ -283,10 +286,10 @@
             return False
         if self._gate.enter(fingerprint, ticket, self._clock.now_ms()):
             return True
-        answer = event.Event()
-        self._waiting[ticket] = (self._home_entries.own, answer)
+        reply_received = event.Event()
+        self._waiting[ticket] = (self._home_entries.own, reply_received)
         try:
-            return answer.wait(timeout_ms / _MS_PER_S)
+            return reply_received.wait(timeout_ms / _MS_PER_S)
         finally:
             del self._waiting[ticket]
 
@@ -311,7 +314,7 @@
         entry = self._requesters.get(ticket.entry)
         if entry is None:
             return
-        known = self._known.for_request(fingerprint, self._clock.now_ms())
+        known = self._suspicions.for_request(fingerprint, self._clock.now_ms())
         self._network.send(
             entry,
             wire.RunAdmitted(
@@ -322,9 +325,10 @@
         )
 
     def _forward_to_home(self, suspicion: Suspicion) -> None:
-        """Sends a suspicion to the account's home, which informs entries.
+        """Sends a suspicion to the account's home entry.
 
-        The home adds what it knows when it admits an entry's request.
+        The home includes its suspicions of a request when it admits one for
+        another entry.
         """
         home = self._home_entries.home_of(suspicion.client_account)
         if home != self._home_entries.own and home in self._entries:
@@ -333,7 +337,7 @@
             )
 
     def _broadcast_to_sides(self, fingerprint: str) -> None:
-        known = self._known.for_request(fingerprint, self._clock.now_ms())
+        known = self._suspicions.for_request(fingerprint, self._clock.now_ms())
         self._network.broadcast(
             _SIDE_ROLE, *(suspicion_to_wire(s) for s in known)
         )
--- a/caroblug/entry/_streams.py
+++ b/caroblug/entry/_streams.py
@@ -260,7 +260,7 @@
     def _check_recovery(self, stream: RunningStream) -> Refused | None:
         """Counts a failure and returns a refusal if no retry is allowed.
 
-        The refusal tells the caller at once when to retry.
+        The caller is refused at once, with a time after which to retry.
         """
         quarantined = self._quarantine.refusal(
             stream.request.fingerprint, Ran.UNKNOWN
--- a/caroblug/entry/tests/test_directory.py
+++ b/caroblug/entry/tests/test_directory.py
@@ -1,4 +1,4 @@
-"""Tests of what an entry knows of the side processes."""
+"""Tests of the directory of side processes."""
 
 from caroblug.core.routing import report_interval_ms
 from caroblug.entry._directory import SideDirectory
@@ -27,10 +27,11 @@
 
 
 def test_spaced_reports_live_longer():
-    """Callers are refused at a large site although every engine is idle.
+    """Reports that arrive seldom must stay valid until the next one.
 
-    A side process with many entries reports to each every few seconds; its
-    engine must not vanish between two reports.
+    A side process with many entries reports to each only every few seconds.
+    If its engine disappeared between two reports, callers of a large site
+    would be refused although every engine is idle.
     """
     clock = ManualClock()
     directory = SideDirectory(clock, report_age_ms=2000)
--- a/caroblug/entry/tests/test_quarantine.py
+++ b/caroblug/entry/tests/test_quarantine.py
@@ -1,4 +1,4 @@
-"""The line of equal requests, at a home that knows nobody yet."""
+"""Tests of the run gate at an account's home entry."""
 
 from caroblug.core.limits import HomeEntries
 from caroblug.core.state import Quarantine
@@ -16,11 +16,11 @@
         self.sent += [(to.instance, message) for message in messages]
 
 
-def test_home_that_has_just_started_answers_whoever_asks():
-    """A caller waits a whole minute and gets nothing after an update.
+def test_home_that_has_just_started_admits_unlisted_entries():
+    """A restarted home must reply before it has read the instance list.
 
-    An entry is restarted; another one asks it, as an account's home, whether
-    a request may run, before the restarted one has read the instance list.
+    Another entry requests to run a request right after the restart. If the
+    home did not reply, the caller would wait a whole minute for nothing.
     """
     network, clock = _Network(), ManualClock()
     client = QuarantineClient(
@@ -30,8 +30,8 @@
         clock,
         make_metrics(),
     )
-    asker = PeerAddress("entry-b", "127.0.0.1", 1)
-    client.on_run_request(asker, wire.RunRequest("f", 7, leave=False))
+    requester = PeerAddress("entry-b", "127.0.0.1", 1)
+    client.on_run_request(requester, wire.RunRequest("f", 7, leave=False))
     ((to, answer),) = network.sent
     assert to == "entry-b"
     assert (answer.fingerprint, answer.number) == ("f", 7)
--- a/caroblug/entry/tests/test_slow_reader.py
+++ b/caroblug/entry/tests/test_slow_reader.py
@@ -1,4 +1,4 @@
-"""A caller that asks for an answer and does not read it."""
+"""Tests of streams whose caller does not read the response."""
 
 from caroblug.core.limits import RetryBudget, RetryRule
 from caroblug.core.routing import Chain, Stage
@@ -35,7 +35,7 @@
         return None
 
 
-class _NoSuspects:
+class _EmptyQuarantine:
     def refusal(self, fingerprint, ran):
         return None
 
@@ -52,11 +52,11 @@
     return RecoveryPolicy(3, RecoveryStrategy.REPLACE_STAGE, budget)
 
 
-def test_stream_that_nobody_reads_is_cancelled_and_gives_its_place_back():
-    """An engine generates for a caller that has stopped reading.
+def test_unread_stream_is_cancelled_and_releases_its_slot():
+    """A stream must end when its caller stops reading.
 
-    The caller's connection stays open, so that nothing else ends the stream;
-    its place would be held until the whole answer has been generated.
+    The caller's connection stays open, so nothing else ends the stream. It
+    would hold its slot until the engine has generated the whole response.
     """
     clock = ManualClock(0)
     network = _Network()
@@ -68,7 +68,7 @@
         clock,
         make_metrics(),
         _policy(),
-        _NoSuspects(),
+        _EmptyQuarantine(),
     )
     request = StreamRequest(
         client_account="school-1",
--- a/caroblug/entry/tests/test_subset.py
+++ b/caroblug/entry/tests/test_subset.py
@@ -1,4 +1,4 @@
-"""Which side processes an entry keeps connections with."""
+"""Tests of the selection of side processes to connect to."""
 
 from caroblug.entry._subset import SideSubset
 from caroblug.gen.wire import ttypes as wire
@@ -18,7 +18,7 @@
 
 
 def _settle(subset, listed, silent=()):
-    """Connects to what is wanted until nothing new is learnt."""
+    """Connects to the selected instances over 60 rounds of reports."""
     max_connected = 0
     for _ in range(60):
         selected = subset.select(listed)
@@ -28,11 +28,12 @@
     return selected, max_connected
 
 
-def test_entry_of_a_large_fleet_keeps_to_its_subset():
-    """An entry's processor time grows with the fleet, not with its callers.
+def test_entry_of_a_large_fleet_connects_to_a_subset():
+    """An entry must not connect to every engine of a large fleet.
 
-    At 780 engines it would hear from all of them five times a second, and
-    each engine from every entry.
+    With 780 engines it would receive a load report from each of them five
+    times a second, and each engine would report to every entry. The entry's
+    processor time would grow with the fleet, not with its callers.
     """
     listed = [f"e{n}" for n in range(780)]
     subset = SideSubset("entry-a", _SIZE)
@@ -45,11 +46,11 @@
     assert other != selected
 
 
-def test_listed_instances_that_never_answer_hold_up_nobody():
-    """New engines get no work although they are live.
+def test_listed_instances_that_never_report_do_not_block_others():
+    """Dead listed instances must not keep live engines from getting work.
 
-    More instances than are asked at once are listed and dead; asked again
-    and again, they would keep the entry from ever asking the others.
+    More instances than the entry probes in one round are listed and dead. If
+    it probed the same ones in every round, it would never reach the others.
     """
     listed = [f"e{n}" for n in range(200)]
     silent = {f"e{n}" for n in range(200) if n % 2}
@@ -59,6 +60,6 @@
     assert alive <= subset.known
 
 
-def test_small_fleet_is_connected_whole():
+def test_small_fleet_is_connected_completely():
     listed = [f"e{n}" for n in range(_SIZE)]
     assert SideSubset("entry-a", _SIZE).select(listed) == set(listed)
