--- a/caroblug/entry/_settings.py
+++ b/caroblug/entry/_settings.py
@@ -17,7 +17,8 @@
         attempts: Maximum number of attempts per request, the first included.
         recovery: Strategy to try first when a stage is lost.
         retries: Burst of recoveries that the retry budget allows.
-        account_retries: The same burst for each client account.
+        account_retries: Burst of recoveries that each client account's retry
+            budget allows.
         report_age_ms: Minimum age at which a load report expires.
         chooser: Strategy for choosing chains; all but `flow` are baselines
             for comparison.
@@ -34,7 +35,7 @@
     )
     retries: int = count(1, 100_000, "Burst of the retry budget.", 2000)
     account_retries: int = count(
-        1, 100_000, "The same per client account.", 500
+        1, 100_000, "Burst of each client account's retry budget.", 500
     )
     report_age_ms: int = duration_ms(
         "Minimum age at which a load report expires.", 2000
--- a/caroblug/entry/_stream_reader.py
+++ b/caroblug/entry/_stream_reader.py
@@ -16,7 +16,7 @@
 )
 
 _MS_PER_S = 1000
-_GOOD_OUTCOMES = {"answered", "cancelled", *CALLERS_OWN}
+_NOT_COUNTED_AS_BAD = {"answered", "cancelled", *CALLERS_OWN}
 _RETRY_AFTER_MS = 1000
 _DEADLINE_EXCEEDED = Refused(
     RefusalType.DEADLINE_EXCEEDED,
@@ -122,5 +122,5 @@
             group=self._group,
             outcome=outcome,
         )
-        if outcome not in _GOOD_OUTCOMES:
+        if outcome not in _NOT_COUNTED_AS_BAD:
             self._metrics.count_bad(self.stream.request.client_account)
--- a/caroblug/entry/_streams.py
+++ b/caroblug/entry/_streams.py
@@ -188,7 +188,7 @@
             self._abort(stream, _UNREAD_LIMIT_REACHED)
 
     def on_refusal(self, refusal: wire.StageRefusal) -> None:
-        """Recovers a stream that a stage refused.
+        """Recovers a stream that a stage refused, or moves it elsewhere.
 
         A refusal of an earlier attempt is ignored. A lost journal does not
         mean that the stage is faulty: the stream restarts with a full
