--- a/caroblug/core/placement/__init__.py
+++ b/caroblug/core/placement/__init__.py
@@ -1,6 +1,6 @@
 """Which engine holds which layers, and the path of a request over them."""
 
-from caroblug.core.placement._engine_loads import EngineLoads
+from caroblug.core.placement._load import EngineLoads
 from caroblug.core.placement._paths import NoPath, Path, PathPart, choose_path
 from caroblug.core.placement._planner import (
     Move,
--- a/caroblug/core/placement/_paths.py
+++ b/caroblug/core/placement/_paths.py
@@ -5,7 +5,7 @@
 
 import attrs
 
-from caroblug.core.placement._engine_loads import EngineLoads
+from caroblug.core.placement._load import EngineLoads
 from caroblug.core.placement._planner import HOP_MS
 from caroblug.core.placement._types import Engine, LayerRange, ModelShape
 
