--- a/caroblug/core/placement/_load.py
+++ b/caroblug/core/placement/_load.py
@@ -21,20 +21,20 @@
 
     def __init__(self) -> None:
         self._own: collections.Counter[str] = collections.Counter()
-        self._unread: collections.Counter[str] = collections.Counter()
-        self._heard: dict[str, dict[str, float]] = {}
-        self._near: set[str] = set()
-        self._near_sums: dict[str, float] = {}
-        self._far_sums: dict[str, float] = {}
+        self._prefills: collections.Counter[str] = collections.Counter()
+        self._reported: dict[str, dict[str, float]] = {}
+        self._local: set[str] = set()
+        self._local_sums: dict[str, float] = {}
+        self._remote_sums: dict[str, float] = {}
         self._gateways = 0
         self.local_gateways = 1
 
     @property
     def gateways(self) -> int:
         """Gateways that share the engines, this one included; 0 if unknown."""
-        if not self._gateways and not self._heard:
+        if not self._gateways and not self._reported:
             return 0
-        return max(self._gateways, len(self._heard) + 1)
+        return max(self._gateways, len(self._reported) + 1)
 
     @gateways.setter
     def gateways(self, gateways: int) -> None:
@@ -54,14 +54,14 @@
 
     def begin_prefill(self, names: tuple[str, ...]) -> None:
         """Counts a prompt that the engines named have yet to read."""
-        self._unread.update(names)
+        self._prefills.update(names)
 
     def end_prefill(self, names: tuple[str, ...]) -> None:
         """Takes off a prompt that has been read, or never will be."""
         for name in names:
-            self._unread[name] -= 1
-            if self._unread[name] <= 0:
-                del self._unread[name]
+            self._prefills[name] -= 1
+            if self._prefills[name] <= 0:
+                del self._prefills[name]
 
     def pending_prefills(self, name: str) -> int:
         """Returns how many prompts an engine has yet to read.
@@ -69,7 +69,7 @@
         What others have sent in the last some hundred ms can't have been told
         yet; the neighbours are taken to do as this gateway does.
         """
-        return self._unread[name] * self.local_gateways
+        return self._prefills[name] * self.local_gateways
 
     def own_tokens(self) -> dict[str, int]:
         """Returns this gateway's tokens by engine."""
@@ -85,41 +85,44 @@
             tokens: Its tokens by engine.
             local: Whether it is in the own data centre.
         """
-        self._heard[gateway] = tokens
+        self._reported[gateway] = tokens
         if local:
-            self._near.add(gateway)
+            self._local.add(gateway)
         else:
-            self._near.discard(gateway)
-        self._add_up()
+            self._local.discard(gateway)
+        self._update_sums()
 
     def remove_peer(self, gateway: str) -> None:
         """Drops a gateway that is not heard any more."""
-        if self._heard.pop(gateway, None) is not None:
-            self._near.discard(gateway)
-            self._add_up()
+        if self._reported.pop(gateway, None) is not None:
+            self._local.discard(gateway)
+            self._update_sums()
 
     def tokens(self, name: str) -> float:
         """Returns the tokens of all gateways on an engine."""
-        near = self._own.get(name, 0) + self._near_sums.get(name, 0.0)
-        far = self._far_sums.get(name, 0.0)
-        heard_near = len(self._near) + 1
-        neighbours = max(self.local_gateways, heard_near)
-        heard_far = len(self._heard) - len(self._near)
-        strangers = max(self.gateways - neighbours, heard_far)
-        if heard_far == 0:
+        local = self._own.get(name, 0) + self._local_sums.get(name, 0.0)
+        remote = self._remote_sums.get(name, 0.0)
+        local_reporting = len(self._local) + 1
+        local_gateways = max(self.local_gateways, local_reporting)
+        remote_reporting = len(self._reported) - len(self._local)
+        remote_gateways = max(self.gateways - local_gateways, remote_reporting)
+        if remote_reporting == 0:
             # Nobody is heard from elsewhere: the rest do as the neighbours.
-            return near * (neighbours + strangers) / heard_near
-        return near * neighbours / heard_near + far * strangers / heard_far
+            return local * (local_gateways + remote_gateways) / local_reporting
+        return (
+            local * local_gateways / local_reporting
+            + remote * remote_gateways / remote_reporting
+        )
 
     def memory_use(self, engine: Engine, model: ModelShape) -> float:
         """Returns the share of an engine's room that is taken."""
-        room = model.token_capacity(engine.kind, len(engine.holds))
-        return self.tokens(engine.name) / room if room > 0 else 1.0
-
-    def _add_up(self) -> None:
-        near: collections.Counter[str] = collections.Counter()
-        far: collections.Counter[str] = collections.Counter()
-        for gateway, tokens in self._heard.items():
-            (near if gateway in self._near else far).update(tokens)
-        self._near_sums = near
-        self._far_sums = far
+        capacity = model.token_capacity(engine.kind, len(engine.holds))
+        return self.tokens(engine.name) / capacity if capacity > 0 else 1.0
+
+    def _update_sums(self) -> None:
+        local: collections.Counter[str] = collections.Counter()
+        remote: collections.Counter[str] = collections.Counter()
+        for gateway, tokens in self._reported.items():
+            (local if gateway in self._local else remote).update(tokens)
+        self._local_sums = local
+        self._remote_sums = remote
--- a/caroblug/core/placement/_paths.py
+++ b/caroblug/core/placement/_paths.py
@@ -9,36 +9,36 @@
 from caroblug.core.placement._planner import HOP_MS
 from caroblug.core.placement._types import Engine, LayerRange, ModelShape
 
-_CROSSING_QUEUE = 2.0
+_LINK_QUEUE_FACTOR = 2.0
 """Cost of leaving a data centre inside the path, in times that a usual
 prompt's activations take on the link alone: everybody shares it, and what
 waits there waits with each token.
 """
 
-_AWAY_MS = 15.0
+_REMOTE_START_MS = 15.0
 """Cost of beginning in another data centre than the caller's entry.
 
 A faster chain elsewhere saves some ms a step, which no caller notices, while
 each event crosses. Only crowding is worth that.
 """
 
-_USE_MS = 2.0
+_MEMORY_USE_MS = 2.0
 """Cost of an engine whose memory is all taken, below `_CROWDED`: enough for
 chains that differ by some ms a step to fill alike."""
 
-_CROWDED = 0.6
+_HIGH_USE = 0.6
 """Use of an engine's memory from which its cost rises steeply."""
 
-_CROWDED_MS = 60.0
+_HIGH_USE_MS = 60.0
 """Cost per unit of use above `_CROWDED`: memory that runs out preempts the
 newest request, whose prompt is then read again."""
 
-_READ_COST = 0.008
+_PREFILL_QUEUE_FACTOR = 0.008
 """Cost of a ms that an engine is busy with prompts sent to it before. A second
 chain then takes its part of what comes at once, while one request after the
 other goes over the quickest."""
 
-_MOST_PARTS = 32
+_MAX_PARTS = 32
 """Engines on one path that the first engine takes."""
 
 
@@ -121,15 +121,15 @@
     if after is not None:
         ready = [e for e in ready if e.name != after.engine.name]
     use = {e.name: loads.memory_use(e, model) for e in ready}
-    weight = {
-        e.name: _weight_ms(use[e.name], rng)
+    cost_ms = {
+        e.name: _memory_cost_ms(use[e.name], rng)
         + loads.pending_prefills(e.name)
         * model.prefill_time_ms(e.kind, len(e.holds))
-        * _READ_COST
+        * _PREFILL_QUEUE_FACTOR
         for e in ready
     }
     layer_ms = model.step_ms / model.layers
-    transfer_ms = model.transfer_ms * _CROSSING_QUEUE
+    transfer_ms = model.transfer_ms * _LINK_QUEUE_FACTOR
     start = after.layers.end if after else 0
     origin = after.engine.data_centre if after else data_centre
     queue: list[tuple[float, int, int, Engine | None]] = [
@@ -137,15 +137,15 @@
     ]
     came_from: dict[tuple[int, str], tuple[tuple[int, str], Engine]] = {}
     best: dict[tuple[int, str], float] = {(start, origin): 0.0}
-    order = 0
+    sequence = 0
     farthest = start
     while queue:
         cost, _, layer, last = heapq.heappop(queue)
-        place = last.data_centre if last else data_centre
-        if best.get((layer, place), cost) < cost:
+        location = last.data_centre if last else data_centre
+        if best.get((layer, location), cost) < cost:
             continue
         if layer == model.layers:
-            return _trace(came_from, (layer, place), use, after)
+            return _trace(came_from, (layer, location), use, after)
         farthest = max(farthest, layer)
         for engine in ready:
             if layer not in engine.holds:
@@ -153,37 +153,37 @@
             if last is None and engine.name in excluded_first:
                 continue
             end = engine.holds.end
-            step = (end - layer) * layer_ms * engine.kind.step_time_factor
-            step += HOP_MS + weight[engine.name]
-            if engine.data_centre != place:
-                step += transfer_ms if last else _AWAY_MS
+            edge_ms = (end - layer) * layer_ms * engine.kind.step_time_factor
+            edge_ms += HOP_MS + cost_ms[engine.name]
+            if engine.data_centre != location:
+                edge_ms += transfer_ms if last else _REMOTE_START_MS
             key = (end, engine.data_centre)
-            if cost + step < best.get(key, float("inf")):
-                best[key] = cost + step
-                came_from[key] = ((layer, place), engine)
-                order += 1
-                heapq.heappush(queue, (cost + step, order, end, engine))
+            if cost + edge_ms < best.get(key, float("inf")):
+                best[key] = cost + edge_ms
+                came_from[key] = ((layer, location), engine)
+                sequence += 1
+                heapq.heappush(queue, (cost + edge_ms, sequence, end, engine))
     return NoPath(farthest)
 
 
-def _weight_ms(use: float, rng: random.Random) -> float:
-    weight = use * _USE_MS + rng.random() * 0.3
-    if use > _CROWDED:
-        weight += (use - _CROWDED) * _CROWDED_MS
-    return weight
+def _memory_cost_ms(use: float, rng: random.Random) -> float:
+    cost_ms = use * _MEMORY_USE_MS + rng.random() * 0.3
+    if use > _HIGH_USE:
+        cost_ms += (use - _HIGH_USE) * _HIGH_USE_MS
+    return cost_ms
 
 
 def _trace(came_from, key, use, after: PathPart | None) -> Path | NoPath:
     start = after.layers.end if after else 0
     parts = []
     while key[0] > start:
-        earlier, engine = came_from[key]
-        parts.append(PathPart(engine, LayerRange(earlier[0], key[0])))
-        key = earlier
+        previous, engine = came_from[key]
+        parts.append(PathPart(engine, LayerRange(previous[0], key[0])))
+        key = previous
     if after is not None:
         parts.append(after)
     parts.reverse()
-    if len(parts) > _MOST_PARTS:
-        return NoPath(parts[_MOST_PARTS].layers.first)
-    highest = max(use.get(part.engine.name, 0.0) for part in parts)
-    return Path(tuple(parts), highest)
+    if len(parts) > _MAX_PARTS:
+        return NoPath(parts[_MAX_PARTS].layers.first)
+    max_use = max(use.get(part.engine.name, 0.0) for part in parts)
+    return Path(tuple(parts), max_use)
--- a/caroblug/core/placement/_planner.py
+++ b/caroblug/core/placement/_planner.py
@@ -15,7 +15,7 @@
 from caroblug.core.placement._serving_engines import ServingEngines
 from caroblug.core.placement._types import Engine, LayerRange, ModelShape
 
-STREAMS_PER_CHAIN = 40
+DEFAULT_REQUESTS_PER_CHAIN = 40
 """Requests of usual size for which a chain keeps room beside its weights.
 
 A chain is made of the fastest engines, as full as this allows, and the others
@@ -24,8 +24,8 @@
 one's streams.
 """
 
-_MOST_STREAMS_PER_CHAIN = 60
-_STREAMS_PER_GATEWAY = 7
+_MAX_REQUESTS_PER_CHAIN = 60
+_REQUESTS_PER_GATEWAY = 7
 """The same for each gateway of a data centre where there are many: entries are
 as many as traffic needs, and nothing else is known of it at a first start."""
 
@@ -33,11 +33,11 @@
 """Time that one more engine on the path adds to a token: the delay of the
 link and the wait for the engine's pass."""
 
-_GROWN_STREAMS = 40
+_EXTENDED_REQUESTS = 40
 """Requests for which an engine keeps room when it grows into a hole:
 everybody's path leads over it then."""
 
-_TIGHT_STREAMS = 6
+_MIN_REQUESTS = 6
 """The same where a hole has no other filler."""
 
 
@@ -63,7 +63,7 @@
 
 
 @attrs.define
-class _Seat:
+class _Assignment:
     """An engine, and the range that the plan gives it."""
 
     engine: Engine
@@ -71,20 +71,20 @@
     used: bool = False
 
     @property
-    def moved(self) -> bool:
+    def changed(self) -> bool:
         return self.target != self.engine.holds
 
     @property
-    def free(self) -> bool:
+    def available(self) -> bool:
         return not self.used and not self.engine.loading
 
     @property
-    def empty(self) -> bool:
-        return self.free and len(self.target) == 0
+    def unassigned(self) -> bool:
+        return self.available and len(self.target) == 0
 
-    def most(self, model: ModelShape, streams: int) -> int:
+    def max_layers(self, model: ModelShape, requests: int) -> int:
         """Returns how many layers fit beside `streams` requests."""
-        return model.max_layers(self.engine.kind, streams)
+        return model.max_layers(self.engine.kind, requests)
 
 
 def compute_requests_per_chain(gateways: int, data_centres: int) -> int:
@@ -94,15 +94,15 @@
         gateways: Gateways that send to the engines; 0 if unknown.
         data_centres: Data centres with engines.
     """
-    here = gateways / max(1, data_centres)
-    wanted = int(here * _STREAMS_PER_GATEWAY)
-    return min(_MOST_STREAMS_PER_CHAIN, max(STREAMS_PER_CHAIN, wanted))
+    per_data_centre = gateways / max(1, data_centres)
+    wanted = int(per_data_centre * _REQUESTS_PER_GATEWAY)
+    return min(_MAX_REQUESTS_PER_CHAIN, max(DEFAULT_REQUESTS_PER_CHAIN, wanted))
 
 
 def plan_moves(
     engines: list[Engine],
     model: ModelShape,
-    requests_per_chain: int = STREAMS_PER_CHAIN,
+    requests_per_chain: int = DEFAULT_REQUESTS_PER_CHAIN,
 ) -> list[Move]:
     """Returns the moves that are missing.
 
@@ -112,31 +112,33 @@
         model: The model.
         requests_per_chain: Requests of usual size that a chain keeps room for.
     """
-    engines = sorted(engines, key=lambda e: _by_speed(e, model))
-    seats = [_Seat(e, e.holds) for e in engines]
+    engines = sorted(engines, key=lambda e: _layer_time_key(e, model))
+    assignments = [_Assignment(e, e.holds) for e in engines]
     missing = {}
-    keepers = {}
+    serving = {}
     for data_centre in sorted({e.data_centre for e in engines}):
-        local = [s for s in seats if s.engine.data_centre == data_centre]
+        local = [a for a in assignments if a.engine.data_centre == data_centre]
         missing[data_centre] = _missing_layers(engines, data_centre, model)
-        keepers[data_centre] = _plan_data_centre(
+        serving[data_centre] = _plan_data_centre(
             local, model, requests_per_chain
         )
     return [
         _make_move(
-            seat,
-            missing[seat.engine.data_centre],
-            keepers[seat.engine.data_centre],
+            assignment,
+            missing[assignment.engine.data_centre],
+            serving[assignment.engine.data_centre],
         )
-        for seat in seats
-        if seat.moved
+        for assignment in assignments
+        if assignment.changed
     ]
 
 
-def _make_move(seat: _Seat, missing: set[int], keepers: ServingEngines) -> Move:
-    urgent = any(layer in seat.target for layer in missing)
-    holders = keepers.remaining_holders(seat.engine, seat.target)
-    return Move(seat.engine, seat.target, urgent, holders)
+def _make_move(
+    assignment: _Assignment, missing: set[int], serving: ServingEngines
+) -> Move:
+    urgent = any(layer in assignment.target for layer in missing)
+    holders = serving.remaining_holders(assignment.engine, assignment.target)
+    return Move(assignment.engine, assignment.target, urgent, holders)
 
 
 def covers_model(engines: list[Engine], model: ModelShape) -> bool:
@@ -158,93 +160,105 @@
     }
 
 
-def _by_speed(engine: Engine, model: ModelShape) -> tuple[float, str]:
+def _layer_time_key(engine: Engine, model: ModelShape) -> tuple[float, str]:
     """Orders engines by the time that a layer costs there, hop included."""
-    most = model.max_layers(engine.kind, STREAMS_PER_CHAIN)
+    width = model.max_layers(engine.kind, DEFAULT_REQUESTS_PER_CHAIN)
     layer_ms = model.step_ms / model.layers * engine.kind.step_time_factor
-    return (layer_ms + HOP_MS / max(1, most), engine.name)
+    return (layer_ms + HOP_MS / max(1, width), engine.name)
 
 
 def _plan_data_centre(
-    seats: list[_Seat], model: ModelShape, requests_per_chain: int
+    assignments: list[_Assignment], model: ModelShape, requests_per_chain: int
 ) -> ServingEngines:
     """Gives the engines of a data centre their targets.
 
     Returns:
         The engines that stay as they are.
     """
-    keepers = ServingEngines([seat.engine for seat in seats])
-    chains, streams = _size_chains(seats, model, requests_per_chain)
-    grown = min(streams, _GROWN_STREAMS)
-    holes = _sweep(seats, model.layers)
-    holes = _fill(_empty(seats), holes, model, streams, keepers)
-    holes = _grow(seats, holes, model, grown, keepers)
-    holes = _fill(seats, holes, model, streams, keepers)
-    holes = _grow(seats, holes, model, _TIGHT_STREAMS, keepers)
-    _fill(seats, holes, model, _TIGHT_STREAMS, keepers)
+    serving = ServingEngines([assignment.engine for assignment in assignments])
+    chains, requests = _size_chains(assignments, model, requests_per_chain)
+    extended_requests = min(requests, _EXTENDED_REQUESTS)
+    gaps = _select_chain(assignments, model.layers)
+    gaps = _fill_gaps(_unassigned(assignments), gaps, model, requests, serving)
+    gaps = _extend_neighbours(
+        assignments, gaps, model, extended_requests, serving
+    )
+    gaps = _fill_gaps(assignments, gaps, model, requests, serving)
+    gaps = _extend_neighbours(assignments, gaps, model, _MIN_REQUESTS, serving)
+    _fill_gaps(assignments, gaps, model, _MIN_REQUESTS, serving)
     for _ in range(1, chains):
-        holes = _sweep(seats, model.layers)
-        _fill(_empty(seats), holes, model, streams, keepers)
-    _use_the_empty(seats, model, streams)
-    return keepers
+        gaps = _select_chain(assignments, model.layers)
+        _fill_gaps(_unassigned(assignments), gaps, model, requests, serving)
+    _assign_replicas(assignments, model, requests)
+    return serving
 
 
 def _size_chains(
-    seats: list[_Seat], model: ModelShape, requests_per_chain: int
+    assignments: list[_Assignment], model: ModelShape, requests_per_chain: int
 ) -> tuple[int, int]:
     """Returns how many whole chains fit, and the room each one has.
 
     Returns:
         Number of chains, one at least, and requests of usual size.
     """
-    held = _layers_held(seats, model, requests_per_chain)
+    held = _total_layers(assignments, model, requests_per_chain)
     chains = max(1, held // model.layers)
-    low, high = _TIGHT_STREAMS, requests_per_chain
+    low, high = _MIN_REQUESTS, requests_per_chain
     while low < high:
         middle = (low + high + 1) // 2
-        if _layers_held(seats, model, middle) >= chains * model.layers:
+        if _total_layers(assignments, model, middle) >= chains * model.layers:
             low = middle
         else:
             high = middle - 1
     return chains, low
 
 
-def _layers_held(seats: list[_Seat], model: ModelShape, streams: int) -> int:
-    return sum(seat.most(model, streams) for seat in seats)
+def _total_layers(
+    assignments: list[_Assignment], model: ModelShape, requests: int
+) -> int:
+    return sum(
+        assignment.max_layers(model, requests) for assignment in assignments
+    )
 
 
-def _sweep(seats: list[_Seat], layers: int) -> list[LayerRange]:
+def _select_chain(
+    assignments: list[_Assignment], layers: int
+) -> list[LayerRange]:
     """Marks the fewest engines that reach from layer to layer.
 
     Returns:
         What no engine that is not in use yet holds.
     """
-    holes = []
+    gaps = []
     layer = 0
     while layer < layers:
-        holders = [s for s in seats if not s.used and layer in s.target]
+        holders = [a for a in assignments if not a.used and layer in a.target]
         if holders:
-            best = max(holders, key=lambda s: (s.target.end, s.engine.name))
+            best = max(holders, key=lambda a: (a.target.end, a.engine.name))
             best.used = True
             layer = best.target.end
             continue
-        ahead = [s.target.first for s in seats if _begins(s, layer)]
+        ahead = [a.target.first for a in assignments if _starts_after(a, layer)]
         end = min(ahead, default=layers)
-        holes.append(LayerRange(layer, end))
+        gaps.append(LayerRange(layer, end))
         layer = end
-    return holes
+    return gaps
 
 
-def _begins(seat: _Seat, layer: int) -> bool:
-    return not seat.used and len(seat.target) > 0 and seat.target.first > layer
+def _starts_after(assignment: _Assignment, layer: int) -> bool:
+    return (
+        not assignment.used
+        and len(assignment.target) > 0
+        and assignment.target.first > layer
+    )
 
 
-def _fill(
-    candidates: list[_Seat],
-    holes: list[LayerRange],
+def _fill_gaps(
+    candidates: list[_Assignment],
+    gaps: list[LayerRange],
     model: ModelShape,
-    streams: int,
-    keepers: ServingEngines,
+    requests: int,
+    serving: ServingEngines,
 ) -> list[LayerRange]:
     """Gives holes to free engines whose layers others keep, empty ones first.
 
@@ -255,43 +269,47 @@
     Returns:
         What is left of the holes.
     """
-    left = []
-    for hole in holes:
-        layer = hole.first
-        for seat in sorted(candidates, key=lambda s: len(s.target) > 0):
-            if layer >= hole.end:
+    remaining = []
+    for gap in gaps:
+        layer = gap.first
+        for assignment in sorted(candidates, key=lambda a: len(a.target) > 0):
+            if layer >= gap.end:
                 break
-            if not seat.free or not keepers.may_give_up(seat.engine):
+            if not assignment.available or not serving.can_reassign(
+                assignment.engine
+            ):
                 continue
-            layer = _take(seat, LayerRange(layer, hole.end), model, streams)
-            if seat.used:
-                keepers.on_given_up(seat.engine)
-        if layer < hole.end:
-            left.append(LayerRange(layer, hole.end))
-    return left
-
-
-def _take(
-    seat: _Seat, hole: LayerRange, model: ModelShape, streams: int
+            layer = _assign_start(
+                assignment, LayerRange(layer, gap.end), model, requests
+            )
+            if assignment.used:
+                serving.on_reassigned(assignment.engine)
+        if layer < gap.end:
+            remaining.append(LayerRange(layer, gap.end))
+    return remaining
+
+
+def _assign_start(
+    assignment: _Assignment, gap: LayerRange, model: ModelShape, requests: int
 ) -> int:
     """Gives an engine as much of the begin of a hole as it has room for.
 
     Returns:
         Where the rest of the hole begins.
     """
-    end = min(hole.end, hole.first + seat.most(model, streams))
-    if end > hole.first:
-        seat.target = LayerRange(hole.first, end)
-        seat.used = True
+    end = min(gap.end, gap.first + assignment.max_layers(model, requests))
+    if end > gap.first:
+        assignment.target = LayerRange(gap.first, end)
+        assignment.used = True
     return end
 
 
-def _grow(
-    seats: list[_Seat],
-    holes: list[LayerRange],
+def _extend_neighbours(
+    assignments: list[_Assignment],
+    gaps: list[LayerRange],
     model: ModelShape,
-    streams: int,
-    keepers: ServingEngines,
+    requests: int,
+    serving: ServingEngines,
 ) -> list[LayerRange]:
     """Lets engines beside holes grow into them.
 
@@ -301,106 +319,132 @@
     Returns:
         What is left of the holes.
     """
-    left = []
-    for hole in holes:
-        first, end = hole.first, hole.end
+    remaining = []
+    for gap in gaps:
+        first, end = gap.first, gap.end
         before = _choose_neighbour(
-            [s for s in seats if s.target.end == first], model, streams, keepers
+            [a for a in assignments if a.target.end == first],
+            model,
+            requests,
+            serving,
         )
         after = _choose_neighbour(
-            [s for s in seats if s.target.first == end], model, streams, keepers
+            [a for a in assignments if a.target.first == end],
+            model,
+            requests,
+            serving,
         )
         half = (end - first + 1) // 2 if before and after else end - first
         if before is not None:
-            taken = min(_spare(before, model, streams), half)
+            taken = min(_free_layers(before, model, requests), half)
             before.target = LayerRange(before.target.first, first + taken)
             first += taken
         if after is not None:
-            taken = min(_spare(after, model, streams), end - first)
+            taken = min(_free_layers(after, model, requests), end - first)
             after.target = LayerRange(end - taken, after.target.end)
             end -= taken
         if before is not None and first < end:
-            taken = min(_spare(before, model, streams), end - first)
+            taken = min(_free_layers(before, model, requests), end - first)
             before.target = LayerRange(before.target.first, first + taken)
             first += taken
         if first < end:
-            left.append(LayerRange(first, end))
-    return left
+            remaining.append(LayerRange(first, end))
+    return remaining
 
 
 def _choose_neighbour(
-    beside: list[_Seat],
+    adjoining: list[_Assignment],
     model: ModelShape,
-    streams: int,
-    keepers: ServingEngines,
-) -> _Seat | None:
+    requests: int,
+    serving: ServingEngines,
+) -> _Assignment | None:
     """Chooses the engine beside a hole that can grow most, if any can.
 
     It loads then, so that others can't rely on it.
     """
-    able = [
-        s
-        for s in beside
-        if len(s.target)
-        and not s.engine.loading
-        and _spare(s, model, streams) > 0
-        and keepers.may_load(s.engine)
+    extensible = [
+        a
+        for a in adjoining
+        if len(a.target)
+        and not a.engine.loading
+        and _free_layers(a, model, requests) > 0
+        and serving.can_extend(a.engine)
     ]
-    if not able:
+    if not extensible:
         return None
-    best = max(able, key=lambda s: (_spare(s, model, streams), s.engine.name))
-    keepers.on_loading(best.engine)
+    best = max(
+        extensible,
+        key=lambda a: (_free_layers(a, model, requests), a.engine.name),
+    )
+    serving.on_extended(best.engine)
     return best
 
 
-def _spare(seat: _Seat, model: ModelShape, streams: int) -> int:
-    return max(0, seat.most(model, streams) - len(seat.target))
+def _free_layers(
+    assignment: _Assignment, model: ModelShape, requests: int
+) -> int:
+    return max(
+        0, assignment.max_layers(model, requests) - len(assignment.target)
+    )
 
 
-def _empty(seats: list[_Seat]) -> list[_Seat]:
+def _unassigned(assignments: list[_Assignment]) -> list[_Assignment]:
     """Returns engines that hold nothing and are given nothing yet."""
-    return [seat for seat in seats if seat.empty]
+    return [assignment for assignment in assignments if assignment.unassigned]
 
 
-def _use_the_empty(seats: list[_Seat], model: ModelShape, streams: int) -> None:
+def _assign_replicas(
+    assignments: list[_Assignment], model: ModelShape, requests: int
+) -> None:
     """Gives engines that hold nothing the layers that need one more holder.
 
     A layer that one more engine holds can be served at once when a holder
     dies, without waiting for a load. A fast engine goes where only slow ones
     are: one that comes back after a crash takes its old place again.
     """
-    for seat in seats:
-        most = seat.most(model, streams)
-        if not seat.empty or most < 1:
+    for assignment in assignments:
+        width = assignment.max_layers(model, requests)
+        if not assignment.unassigned or width < 1:
             continue
-        first = _neediest(seats, seat, most, model)
-        seat.target = LayerRange(first, first + most)
-        seat.used = True
+        first = _choose_first_layer(assignments, assignment, width, model)
+        assignment.target = LayerRange(first, first + width)
+        assignment.used = True
 
 
-def _neediest(
-    seats: list[_Seat], seat: _Seat, width: int, model: ModelShape
+def _choose_first_layer(
+    assignments: list[_Assignment],
+    assignment: _Assignment,
+    width: int,
+    model: ModelShape,
 ) -> int:
     """Returns where a range of `width` layers on an engine helps most."""
-    needs = [_need(seats, seat, layer, model) for layer in range(model.layers)]
+    values = [
+        _replica_value(assignments, assignment, layer, model)
+        for layer in range(model.layers)
+    ]
     sums = [
-        (-sum(needs[first : first + width]), first)
-        for first in range(len(needs) - width + 1)
+        (-sum(values[first : first + width]), first)
+        for first in range(len(values) - width + 1)
     ]
     return min(sums)[1]
 
 
-def _need(
-    seats: list[_Seat], seat: _Seat, layer: int, model: ModelShape
+def _replica_value(
+    assignments: list[_Assignment],
+    assignment: _Assignment,
+    layer: int,
+    model: ModelShape,
 ) -> float:
     """Returns what a layer gains from one more holder, 1 for its second one.
 
     Each further holder is worth half of the one before; speed counts beside
     it, as the share of the fastest holder's time that is saved.
     """
-    holders = [s.engine for s in seats if layer in s.target]
+    holders = [a.engine for a in assignments if layer in a.target]
     if not holders:
         return 2.0
-    pace = min(e.kind.step_time_factor for e in holders)
-    saved = max(0.0, pace - seat.engine.kind.step_time_factor) / pace
+    fastest = min(e.kind.step_time_factor for e in holders)
+    saved = (
+        max(0.0, fastest - assignment.engine.kind.step_time_factor) / fastest
+    )
     return 2.0 ** (1 - len(holders)) + saved
--- a/caroblug/core/placement/_serving_engines.py
+++ b/caroblug/core/placement/_serving_engines.py
@@ -22,32 +22,32 @@
             if not engine.loading and not engine.order_unconfirmed
         }
         self._counts: collections.Counter[int] = collections.Counter()
-        self._relied_on: set[int] = set()
+        self._given_up: set[int] = set()
         for engine in self._engines.values():
             self._counts.update(engine.holds)
         # They may give their layers up at any moment.
         for engine in engines:
             if engine.order_unconfirmed:
-                self._relied_on.update(engine.holds)
+                self._given_up.update(engine.holds)
 
-    def may_give_up(self, engine: Engine) -> bool:
+    def can_reassign(self, engine: Engine) -> bool:
         """Returns whether others keep everything that an engine holds."""
-        return all(self._others(engine, layer) for layer in engine.holds)
+        return all(self._others_hold(engine, layer) for layer in engine.holds)
 
-    def may_load(self, engine: Engine) -> bool:
+    def can_extend(self, engine: Engine) -> bool:
         """Returns whether no layer that was given up needs this engine."""
         return all(
-            self._others(engine, layer)
+            self._others_hold(engine, layer)
             for layer in engine.holds
-            if layer in self._relied_on
+            if layer in self._given_up
         )
 
-    def on_given_up(self, engine: Engine) -> None:
+    def on_reassigned(self, engine: Engine) -> None:
         """Notes that the plan sends an engine to other layers."""
-        self.on_loading(engine)
-        self._relied_on.update(engine.holds)
+        self.on_extended(engine)
+        self._given_up.update(engine.holds)
 
-    def on_loading(self, engine: Engine) -> None:
+    def on_extended(self, engine: Engine) -> None:
         """Notes that the plan lets an engine load more layers."""
         if self._engines.pop(engine.name, None) is not None:
             self._counts.subtract(engine.holds)
@@ -73,7 +73,7 @@
                 found.append(max(holders, key=_by_end))
         return tuple(found)
 
-    def _others(self, engine: Engine, layer: int) -> bool:
+    def _others_hold(self, engine: Engine, layer: int) -> bool:
         """Returns whether another engine keeps a layer of this one."""
         own = 1 if engine.name in self._engines else 0
         return self._counts[layer] > own
--- a/caroblug/core/placement/_types.py
+++ b/caroblug/core/placement/_types.py
@@ -27,7 +27,7 @@
         return self.first <= layer < self.end
 
 
-EMPTY = LayerRange(0, 0)
+NO_LAYERS = LayerRange(0, 0)
 
 
 @attrs.frozen
@@ -80,15 +80,15 @@
     prefill_ms: float = 0.0
     prefill_steps: int = 0
 
-    def max_layers(self, kind: EngineKind, streams: int) -> int:
-        """Returns how many layers fit beside the memory of `streams`.
+    def max_layers(self, kind: EngineKind, requests: int) -> int:
+        """Returns how many layers fit beside the memory of `requests`.
 
         Args:
             kind: The engine's kind.
-            streams: Requests of usual size that are to run at once.
+            requests: Requests of usual size that are to run at once.
         """
         layer_mb = (
-            self.layer_mb + streams * self.mean_request_tokens * self.kv_mb
+            self.layer_mb + requests * self.mean_request_tokens * self.kv_mb
         )
         return min(self.layers, int(kind.memory_mb / layer_mb))
 
@@ -99,16 +99,16 @@
             kind: The engine's kind.
             layers: Layers that the engine runs.
         """
-        prefill_time_ms = self.prefill_ms * kind.prefill_time_factor
+        prompt_ms = self.prefill_ms * kind.prefill_time_factor
         steps_ms = self.prefill_steps * self.step_ms * kind.step_time_factor
-        return (prefill_time_ms + steps_ms) * layers / self.layers
+        return (prompt_ms + steps_ms) * layers / self.layers
 
     def token_capacity(self, kind: EngineKind, layers: int) -> float:
         """Returns how many tokens fit beside `layers` layers."""
         if layers <= 0 or self.kv_mb <= 0:
             return 0.0
-        spare_mb = max(0.0, kind.memory_mb - layers * self.layer_mb)
-        return spare_mb / (layers * self.kv_mb)
+        kv_cache_mb = max(0.0, kind.memory_mb - layers * self.layer_mb)
+        return kv_cache_mb / (layers * self.kv_mb)
 
 
 @attrs.frozen
@@ -130,6 +130,6 @@
     address: tuple[str, int]
     data_centre: str
     kind: EngineKind
-    holds: LayerRange = EMPTY
+    holds: LayerRange = NO_LAYERS
     loading: bool = False
     order_unconfirmed: bool = False
--- a/caroblug/core/placement/tests/test_planner.py
+++ b/caroblug/core/placement/tests/test_planner.py
@@ -16,7 +16,7 @@
     compute_requests_per_chain,
     plan_moves,
 )
-from caroblug.core.placement._planner import STREAMS_PER_CHAIN
+from caroblug.core.placement._planner import DEFAULT_REQUESTS_PER_CHAIN
 from caroblug.core.placement.tests.fleets import (
     BIG,
     MIDDLE,
@@ -151,7 +151,7 @@
 
     rooms = [MODEL.token_capacity(e.kind, len(e.holds)) for e in after]
     assert all(len(e.holds) for e in after)
-    assert min(rooms) >= STREAMS_PER_CHAIN * MODEL.mean_request_tokens
+    assert min(rooms) >= DEFAULT_REQUESTS_PER_CHAIN * MODEL.mean_request_tokens
 
 
 def test_chain_is_made_of_the_engines_that_save_most_time():
