--- a/caroblug/core/placement/__init__.py
+++ b/caroblug/core/placement/__init__.py
@@ -1,4 +1,4 @@
-"""Which engine holds which layers, and the path of a request over them."""
+"""Placement of model layers on engines, and paths of requests over engines."""
 
 from caroblug.core.placement._load import EngineLoads
 from caroblug.core.placement._paths import NoPath, Path, PathPart, choose_path
--- a/caroblug/core/placement/_load.py
+++ b/caroblug/core/placement/_load.py
@@ -1,4 +1,4 @@
-"""How much of each engine's memory for requests is taken."""
+"""Load of each engine: tokens of running requests and pending prefills."""
 
 import collections
 
@@ -6,16 +6,17 @@
 
 
 class EngineLoads:
-    """Tokens that this gateway has on each engine, and what others have.
+    """Tokens of all gateways' requests on each engine.
 
-    Of very many gateways only some are heard; the rest are taken to do as
-    those that are, apart for the own data centre and all others: the neighbours
-    of a gateway are heard nearly all and use the same engines as it does. Taken
-    together with the few that are heard from afar, their load would count
+    This gateway's own tokens are counted exactly. In a large fleet it receives
+    reports from only some of the others, and extrapolates the rest from those,
+    separately for the local data centre and for all remote ones. Nearly all
+    local gateways report, and they use the same engines as this one: one
+    common factor, raised by the few remote reports, would count the local load
     several times over.
 
     Attributes:
-        local_gateways: Gateways known in the own data centre, this one
+        local_gateways: Gateways known in the local data centre, this one
             included.
     """
 
@@ -41,49 +42,49 @@
         self._gateways = gateways
 
     def add_request(self, names: tuple[str, ...], tokens: int) -> None:
-        """Counts a request of `tokens` tokens on the engines named."""
+        """Adds a request of `tokens` tokens to the named engines."""
         for name in names:
             self._own[name] += tokens
 
     def remove_request(self, names: tuple[str, ...], tokens: int) -> None:
-        """Takes a request off the engines named."""
+        """Removes a request of `tokens` tokens from the named engines."""
         for name in names:
             self._own[name] -= tokens
             if self._own[name] <= 0:
                 del self._own[name]
 
     def begin_prefill(self, names: tuple[str, ...]) -> None:
-        """Counts a prompt that the engines named have yet to read."""
+        """Counts a prompt that the named engines have yet to prefill."""
         self._prefills.update(names)
 
     def end_prefill(self, names: tuple[str, ...]) -> None:
-        """Takes off a prompt that has been read, or never will be."""
+        """Discounts a prompt whose prefill has ended or been abandoned."""
         for name in names:
             self._prefills[name] -= 1
             if self._prefills[name] <= 0:
                 del self._prefills[name]
 
     def pending_prefills(self, name: str) -> int:
-        """Returns how many prompts an engine has yet to read.
+        """Returns how many prompts an engine has yet to prefill.
 
-        What others have sent in the last some hundred ms can't have been told
-        yet; the neighbours are taken to do as this gateway does.
+        Reports of other gateways lag by some hundred milliseconds. Each local
+        gateway is therefore assumed to have sent as many prompts as this one.
         """
         return self._prefills[name] * self.local_gateways
 
     def own_tokens(self) -> dict[str, int]:
-        """Returns this gateway's tokens by engine."""
+        """Returns the tokens of this gateway's requests by engine."""
         return dict(self._own)
 
     def update_peer(
         self, gateway: str, tokens: dict[str, float], local: bool = True
     ) -> None:
-        """Takes what another gateway has on engines.
+        """Replaces the tokens reported by another gateway.
 
         Args:
-            gateway: Its name.
-            tokens: Its tokens by engine.
-            local: Whether it is in the own data centre.
+            gateway: Name of the gateway.
+            tokens: Tokens of its requests by engine.
+            local: Whether it runs in the local data centre.
         """
         self._reported[gateway] = tokens
         if local:
@@ -93,13 +94,13 @@
         self._update_sums()
 
     def remove_peer(self, gateway: str) -> None:
-        """Drops a gateway that is not heard any more."""
+        """Removes a gateway whose reports have ceased."""
         if self._reported.pop(gateway, None) is not None:
             self._local.discard(gateway)
             self._update_sums()
 
     def tokens(self, name: str) -> float:
-        """Returns the tokens of all gateways on an engine."""
+        """Returns the estimated tokens of all gateways on an engine."""
         local = self._own.get(name, 0) + self._local_sums.get(name, 0.0)
         remote = self._remote_sums.get(name, 0.0)
         local_reporting = len(self._local) + 1
@@ -107,7 +108,8 @@
         remote_reporting = len(self._reported) - len(self._local)
         remote_gateways = max(self.gateways - local_gateways, remote_reporting)
         if remote_reporting == 0:
-            # Nobody is heard from elsewhere: the rest do as the neighbours.
+            # Without a remote report, remote gateways are assumed to load the
+            # engine as the local ones do.
             return local * (local_gateways + remote_gateways) / local_reporting
         return (
             local * local_gateways / local_reporting
@@ -115,7 +117,7 @@
         )
 
     def memory_use(self, engine: Engine, model: ModelShape) -> float:
-        """Returns the share of an engine's room that is taken."""
+        """Returns the share of an engine's token capacity that is taken."""
         capacity = model.token_capacity(engine.kind, len(engine.holds))
         return self.tokens(engine.name) / capacity if capacity > 0 else 1.0
 
--- a/caroblug/core/placement/_paths.py
+++ b/caroblug/core/placement/_paths.py
@@ -1,4 +1,4 @@
-"""The path of one request: engines that together run every layer in order."""
+"""Choice of the engines that run the layers of one request, in order."""
 
 import heapq
 import random
@@ -10,41 +10,42 @@
 from caroblug.core.placement._types import Engine, LayerRange, ModelShape
 
 _LINK_QUEUE_FACTOR = 2.0
-"""Cost of leaving a data centre inside the path, in times that a usual
-prompt's activations take on the link alone: everybody shares it, and what
-waits there waits with each token.
-"""
+"""Cost of a transfer between data centres inside a path, as a multiple of
+`ModelShape.transfer_ms`. All requests share the link, and its queue delays
+every token."""
 
 _REMOTE_START_MS = 15.0
-"""Cost of beginning in another data centre than the caller's entry.
+"""Cost of a path that starts outside the entry's data centre.
 
-A faster chain elsewhere saves some ms a step, which no caller notices, while
-each event crosses. Only crowding is worth that.
+A faster remote chain saves a few milliseconds per step, which callers don't
+notice, while each event has to cross the link. Only high memory use of the
+local engines outweighs that.
 """
 
 _MEMORY_USE_MS = 2.0
-"""Cost of an engine whose memory is all taken, below `_CROWDED`: enough for
-chains that differ by some ms a step to fill alike."""
+"""Cost of an engine whose memory is fully used, without the surcharge above
+`_HIGH_USE`. It is enough to fill chains evenly whose step times differ by a few
+milliseconds."""
 
 _HIGH_USE = 0.6
-"""Use of an engine's memory from which its cost rises steeply."""
+"""Share of an engine's memory in use above which the surcharge applies."""
 
 _HIGH_USE_MS = 60.0
-"""Cost per unit of use above `_CROWDED`: memory that runs out preempts the
-newest request, whose prompt is then read again."""
+"""Surcharge per unit of memory use above `_HIGH_USE`. An engine that runs out
+of memory preempts its newest request, whose prompt is then prefilled again."""
 
 _PREFILL_QUEUE_FACTOR = 0.008
-"""Cost of a ms that an engine is busy with prompts sent to it before. A second
-chain then takes its part of what comes at once, while one request after the
-other goes over the quickest."""
+"""Cost of a millisecond of pending prefills on an engine. It spreads requests
+that arrive at once over several chains, while requests that arrive one after
+another all take the fastest chain."""
 
 _MAX_PARTS = 32
-"""Engines on one path that the first engine takes."""
+"""Maximum number of engines on a path, which the first engine enforces."""
 
 
 @attrs.frozen
 class PathPart:
-    """One engine of a path, and the layers that it runs."""
+    """An engine of a path and the layers that it runs for the request."""
 
     engine: Engine
     layers: LayerRange
@@ -55,8 +56,9 @@
     """Engines that together run every layer once, in order.
 
     Attributes:
-        parts: At least one; each begins where the last one ended.
-        use: Highest share of an engine's room that is taken.
+        parts: At least one part; each begins where the previous one ends.
+        use: Memory use of the fullest engine, as a share of its token
+            capacity.
     """
 
     parts: tuple[PathPart, ...]
@@ -71,7 +73,7 @@
 
     @property
     def first(self) -> Engine:
-        """The engine that the request is sent to."""
+        """The first engine, which receives the request."""
         return self.parts[0].engine
 
     @property
@@ -81,16 +83,16 @@
 
     @property
     def crosses_data_centres(self) -> bool:
-        """Whether it runs over engines of more than one data centre."""
+        """Whether the path has engines in more than one data centre."""
         return len({part.engine.data_centre for part in self.parts}) > 1
 
 
 @attrs.frozen
 class NoPath:
-    """Some layer is held by no engine that may be used.
+    """Result of a search for a path that found none.
 
     Attributes:
-        layer: The first such layer on the best try.
+        layer: First layer for which the longest partial path has no engine.
     """
 
     layer: int
@@ -105,17 +107,26 @@
     excluded_first: frozenset[str] = frozenset(),
     after: PathPart | None = None,
 ) -> Path | NoPath:
-    """Returns the cheapest path, by time of a token step and crowding.
+    """Returns the path with the lowest cost.
+
+    The cost is the time of a decode step, network included, and surcharges for
+    memory use, pending prefills and remote engines.
 
     Args:
-        engines: Engines that may be used; those still loading are left out.
+        engines: Engines that may be used. Engines that are loading or hold no
+            layers are ignored.
         model: The model.
-        loads: Tokens on each engine.
-        data_centre: Where the entry runs.
-        rng: Breaks ties, so that entries don't all choose alike.
-        excluded_first: Engines that the path must not begin with.
-        after: First part that is kept, for a path that is changed while its
-            request runs.
+        loads: Load of each engine.
+        data_centre: Data centre of the entry.
+        rng: Source of the random tie-breaks, which keep entries from all
+            choosing the same path.
+        excluded_first: Names of engines with which the path must not begin.
+        after: Part with which the path has to begin, if the path of a running
+            request is changed.
+
+    Returns:
+        The path, or NoPath if the engines leave a coverage gap or the path
+        would have too many parts.
     """
     ready = [e for e in engines if len(e.holds) and not e.loading]
     if after is not None:
@@ -174,6 +185,7 @@
 
 
 def _trace(came_from, key, use, after: PathPart | None) -> Path | NoPath:
+    """Returns the path that ends at a key of `came_from`."""
     start = after.layers.end if after else 0
     parts = []
     while key[0] > start:
--- a/caroblug/core/placement/_planner.py
+++ b/caroblug/core/placement/_planner.py
@@ -1,13 +1,14 @@
-"""Orders that bring every data centre to whole chains of layers.
+"""Plans which engine holds which layers, so that chains cover the model.
 
-The plan is computed from what engines hold now, so that whoever computes it
-next comes to the same one: nothing of it has to be kept or handed over. It
-moves as little as it can, because a load takes seconds during which the layers
-answer nobody.
+A plan gives every data centre at least one whole chain of layers, as far as
+its engines suffice. It depends only on what engines hold now, so that the next
+gateway to compute it arrives at the same plan, and nothing has to be stored or
+handed over. It moves as few engines as possible, because a load takes seconds
+during which the engine does not serve.
 
 References:
     Borzunov et al., "Petals", 2023, and Ryabinin et al., "SWARM Parallelism",
-    2023: engines without work go where the cover is thinnest.
+    2023: idle engines are assigned to the layers with the fewest holders.
 """
 
 import attrs
@@ -16,44 +17,46 @@
 from caroblug.core.placement._types import Engine, LayerRange, ModelShape
 
 DEFAULT_REQUESTS_PER_CHAIN = 40
-"""Requests of usual size for which a chain keeps room beside its weights.
+"""Requests of mean length for which a chain reserves KV cache by default.
 
-A chain is made of the fastest engines, as full as this allows, and the others
-hold its layers a second time. More room makes longer, slower chains and leaves
-fewer second holders; less is used up when one data centre takes on another
-one's streams.
+A chain consists of the fastest engines, each with as many layers as this
+reserve allows. The other engines hold the same layers as replicas. A larger
+reserve makes chains longer and slower and leaves fewer replicas; a smaller one
+runs out when a data centre takes over the streams of another.
 """
 
 _MAX_REQUESTS_PER_CHAIN = 60
 _REQUESTS_PER_GATEWAY = 7
-"""The same for each gateway of a data centre where there are many: entries are
-as many as traffic needs, and nothing else is known of it at a first start."""
+"""Requests to reserve for per gateway of a data centre, between the default
+and the maximum. The number of gateways follows the traffic, and at a first
+start nothing else is known about the traffic."""
 
 HOP_MS = 0.5
-"""Time that one more engine on the path adds to a token: the delay of the
-link and the wait for the engine's pass."""
+"""Time that each further engine on a path adds to a token: the network delay
+and the wait for the engine's next forward pass."""
 
 _EXTENDED_REQUESTS = 40
-"""Requests for which an engine keeps room when it grows into a hole:
-everybody's path leads over it then."""
+"""Requests for which an engine reserves KV cache when it is extended into a
+coverage gap: all paths then lead through it."""
 
 _MIN_REQUESTS = 6
-"""The same where a hole has no other filler."""
+"""Requests for which an engine reserves KV cache when a coverage gap can't be
+closed otherwise."""
 
 
 @attrs.frozen
 class Move:
-    """An engine that is to hold other layers.
+    """Assignment of an engine to other layers than it holds.
 
     Attributes:
-        engine: The engine as it was when the plan was made.
-        target: Layers it is to hold.
-        urgent: Whether it brings a layer that no engine of its data centre
-            holds, so that all requests there go elsewhere. Work that passes
-            through layers which are given up is then not waited for: that
-            takes seconds, in which other data centres run out of memory.
-        remaining_holders: Engines that go on serving the layers that are given
-            up.
+        engine: The engine in its state when the plan was computed.
+        target: Layers that it is to hold.
+        urgent: Whether the move adds a layer that no engine of its data centre
+            serves, so that all requests there go to other data centres. An
+            urgent move does not wait for requests that run through the layers
+            given up: the wait takes seconds, in which the other data centres
+            run out of memory.
+        remaining_holders: Engines that continue to serve the layers given up.
     """
 
     engine: Engine
@@ -64,7 +67,13 @@
 
 @attrs.define
 class _Assignment:
-    """An engine, and the range that the plan gives it."""
+    """An engine and the layers that the plan assigns to it.
+
+    Attributes:
+        engine: The engine.
+        target: Layers assigned to it; at first those that it holds.
+        used: Whether the plan already uses the engine.
+    """
 
     engine: Engine
     target: LayerRange
@@ -83,16 +92,16 @@
         return self.available and len(self.target) == 0
 
     def max_layers(self, model: ModelShape, requests: int) -> int:
-        """Returns how many layers fit beside `streams` requests."""
+        """Returns how many layers fit beside the KV cache of `requests`."""
         return model.max_layers(self.engine.kind, requests)
 
 
 def compute_requests_per_chain(gateways: int, data_centres: int) -> int:
-    """Returns the requests of usual size that a chain keeps room for.
+    """Returns for how many requests of mean length a chain reserves KV cache.
 
     Args:
-        gateways: Gateways that send to the engines; 0 if unknown.
-        data_centres: Data centres with engines.
+        gateways: Number of gateways that send to the engines; 0 if unknown.
+        data_centres: Number of data centres with engines.
     """
     per_data_centre = gateways / max(1, data_centres)
     wanted = int(per_data_centre * _REQUESTS_PER_GATEWAY)
@@ -104,13 +113,14 @@
     model: ModelShape,
     requests_per_chain: int = DEFAULT_REQUESTS_PER_CHAIN,
 ) -> list[Move]:
-    """Returns the moves that are missing.
+    """Returns the moves that turn the held layers into the planned ones.
 
     Args:
-        engines: Engines that live and stay; one that leaves is left out, so
-            that its layers are placed again while it still serves.
+        engines: Live engines. Draining engines are omitted, so that their
+            layers are assigned to others while they still serve.
         model: The model.
-        requests_per_chain: Requests of usual size that a chain keeps room for.
+        requests_per_chain: Requests of mean length for which a chain reserves
+            KV cache.
     """
     engines = sorted(engines, key=lambda e: _layer_time_key(e, model))
     assignments = [_Assignment(e, e.holds) for e in engines]
@@ -142,7 +152,7 @@
 
 
 def covers_model(engines: list[Engine], model: ModelShape) -> bool:
-    """Returns whether engines hold every layer of a model between them."""
+    """Returns whether engines together hold every layer of a model."""
     return all(
         any(layer in e.holds for e in engines) for layer in range(model.layers)
     )
@@ -151,7 +161,7 @@
 def _missing_layers(
     engines: list[Engine], data_centre: str, model: ModelShape
 ) -> set[int]:
-    """Returns the layers that no engine of a data centre holds."""
+    """Returns the layers that no engine of a data centre serves."""
     local = [e for e in engines if e.data_centre == data_centre]
     return {
         layer
@@ -161,7 +171,7 @@
 
 
 def _layer_time_key(engine: Engine, model: ModelShape) -> tuple[float, str]:
-    """Orders engines by the time that a layer costs there, hop included."""
+    """Returns a sort key by the time of one layer, with its part of a hop."""
     width = model.max_layers(engine.kind, DEFAULT_REQUESTS_PER_CHAIN)
     layer_ms = model.step_ms / model.layers * engine.kind.step_time_factor
     return (layer_ms + HOP_MS / max(1, width), engine.name)
@@ -170,10 +180,10 @@
 def _plan_data_centre(
     assignments: list[_Assignment], model: ModelShape, requests_per_chain: int
 ) -> ServingEngines:
-    """Gives the engines of a data centre their targets.
+    """Assigns layers to the engines of a data centre.
 
     Returns:
-        The engines that stay as they are.
+        The engines that serve their layers while the plan is carried out.
     """
     serving = ServingEngines([assignment.engine for assignment in assignments])
     chains, requests = _size_chains(assignments, model, requests_per_chain)
@@ -196,10 +206,11 @@
 def _size_chains(
     assignments: list[_Assignment], model: ModelShape, requests_per_chain: int
 ) -> tuple[int, int]:
-    """Returns how many whole chains fit, and the room each one has.
+    """Returns how many whole chains fit, and how many requests each can run.
 
     Returns:
-        Number of chains, one at least, and requests of usual size.
+        Number of chains, at least one, and the largest number of requests of
+        mean length, up to `requests_per_chain`, with which they fit.
     """
     held = _total_layers(assignments, model, requests_per_chain)
     chains = max(1, held // model.layers)
@@ -224,10 +235,10 @@
 def _select_chain(
     assignments: list[_Assignment], layers: int
 ) -> list[LayerRange]:
-    """Marks the fewest engines that reach from layer to layer.
+    """Marks as used the fewest engines that together cover the layers.
 
     Returns:
-        What no engine that is not in use yet holds.
+        Coverage gaps: layers that no unused engine holds.
     """
     gaps = []
     layer = 0
@@ -260,14 +271,15 @@
     requests: int,
     serving: ServingEngines,
 ) -> list[LayerRange]:
-    """Gives holes to free engines whose layers others keep, empty ones first.
+    """Assigns available engines to gaps, engines without layers first.
 
-    Guards against breaking a chain to mend another hole. Each engine is looked
-    at after those before it have been sent away: two that hold the same layers
-    would otherwise each pass for the other's keeper.
+    An engine that is the only one to serve a layer stays, so that closing one
+    gap does not open another. Each engine is checked after the ones before it
+    have been reassigned: of two engines with the same layers, each would
+    otherwise count as the remaining holder for the other.
 
     Returns:
-        What is left of the holes.
+        The remaining gaps.
     """
     remaining = []
     for gap in gaps:
@@ -292,10 +304,10 @@
 def _assign_start(
     assignment: _Assignment, gap: LayerRange, model: ModelShape, requests: int
 ) -> int:
-    """Gives an engine as much of the begin of a hole as it has room for.
+    """Assigns an engine to as many layers at the start of a gap as fit.
 
     Returns:
-        Where the rest of the hole begins.
+        First layer of the remaining gap.
     """
     end = min(gap.end, gap.first + assignment.max_layers(model, requests))
     if end > gap.first:
@@ -311,13 +323,14 @@
     requests: int,
     serving: ServingEngines,
 ) -> list[LayerRange]:
-    """Lets engines beside holes grow into them.
+    """Extends engines whose layers adjoin a gap into the gap.
 
-    They keep what they hold, so that nothing has to pass through first, and
-    only load what is new: a neighbour on either side halves the time.
+    These engines retain their layers, so that no running request has to finish
+    first, and load only the additional ones. Extending one engine from each
+    side halves the load time.
 
     Returns:
-        What is left of the holes.
+        The remaining gaps.
     """
     remaining = []
     for gap in gaps:
@@ -358,9 +371,12 @@
     requests: int,
     serving: ServingEngines,
 ) -> _Assignment | None:
-    """Chooses the engine beside a hole that can grow most, if any can.
+    """Chooses the adjoining engine with space for the most further layers.
 
-    It loads then, so that others can't rely on it.
+    The chosen engine no longer counts as serving, because it will load.
+
+    Returns:
+        The engine, or None if none can be extended.
     """
     extensible = [
         a
@@ -389,18 +405,18 @@
 
 
 def _unassigned(assignments: list[_Assignment]) -> list[_Assignment]:
-    """Returns engines that hold nothing and are given nothing yet."""
+    """Returns engines that neither hold layers nor have any assigned."""
     return [assignment for assignment in assignments if assignment.unassigned]
 
 
 def _assign_replicas(
     assignments: list[_Assignment], model: ModelShape, requests: int
 ) -> None:
-    """Gives engines that hold nothing the layers that need one more holder.
+    """Assigns unassigned engines as replicas to the layers that gain most.
 
-    A layer that one more engine holds can be served at once when a holder
-    dies, without waiting for a load. A fast engine goes where only slow ones
-    are: one that comes back after a crash takes its old place again.
+    A layer with a replica stays available when a holder dies, without waiting
+    for a load. A fast engine is assigned to layers that only slow ones hold:
+    after a crash and a restart it takes over its previous layers again.
     """
     for assignment in assignments:
         width = assignment.max_layers(model, requests)
@@ -417,7 +433,7 @@
     width: int,
     model: ModelShape,
 ) -> int:
-    """Returns where a range of `width` layers on an engine helps most."""
+    """Returns the first of the `width` layers that gain most by an engine."""
     values = [
         _replica_value(assignments, assignment, layer, model)
         for layer in range(model.layers)
@@ -435,10 +451,11 @@
     layer: int,
     model: ModelShape,
 ) -> float:
-    """Returns what a layer gains from one more holder, 1 for its second one.
+    """Returns what a layer gains from one more holder.
 
-    Each further holder is worth half of the one before; speed counts beside
-    it, as the share of the fastest holder's time that is saved.
+    The first holder is worth 2, the second one 1 and each further one half of
+    the one before. To this is added the share of the fastest holder's time
+    that the engine saves.
     """
     holders = [a.engine for a in assignments if layer in a.target]
     if not holders:
--- a/caroblug/core/placement/_serving_engines.py
+++ b/caroblug/core/placement/_serving_engines.py
@@ -1,4 +1,4 @@
-"""Engines that go on serving the layers which others give up."""
+"""Engines that serve their layers while a plan is carried out."""
 
 import collections
 
@@ -6,10 +6,10 @@
 
 
 class ServingEngines:
-    """Engines of one data centre that serve their layers all the time.
+    """Engines of one data centre that serve their layers without a break.
 
     An engine counts unless it is loading, an order to it may still be carried
-    out, or the plan moves or grows it: callers' requests avoid it meanwhile.
+    out, or the plan reassigns or extends it: requests avoid it meanwhile.
 
     Args:
         engines: Engines of the data centre.
@@ -25,17 +25,17 @@
         self._given_up: set[int] = set()
         for engine in self._engines.values():
             self._counts.update(engine.holds)
-        # They may give their layers up at any moment.
+        # An unconfirmed order may make its engine drop its layers at any time.
         for engine in engines:
             if engine.order_unconfirmed:
                 self._given_up.update(engine.holds)
 
     def can_reassign(self, engine: Engine) -> bool:
-        """Returns whether others keep everything that an engine holds."""
+        """Returns whether other engines serve every layer of an engine."""
         return all(self._others_hold(engine, layer) for layer in engine.holds)
 
     def can_extend(self, engine: Engine) -> bool:
-        """Returns whether no layer that was given up needs this engine."""
+        """Returns whether no layer given up elsewhere needs this engine."""
         return all(
             self._others_hold(engine, layer)
             for layer in engine.holds
@@ -43,26 +43,26 @@
         )
 
     def on_reassigned(self, engine: Engine) -> None:
-        """Notes that the plan sends an engine to other layers."""
+        """Records that the plan assigns an engine to other layers."""
         self.on_extended(engine)
         self._given_up.update(engine.holds)
 
     def on_extended(self, engine: Engine) -> None:
-        """Notes that the plan lets an engine load more layers."""
+        """Records that the plan makes an engine load additional layers."""
         if self._engines.pop(engine.name, None) is not None:
             self._counts.subtract(engine.holds)
 
     def remaining_holders(
         self, engine: Engine, target: LayerRange
     ) -> tuple[Engine, ...]:
-        """Returns keepers of the layers that an engine gives up.
+        """Returns engines that serve the layers that an engine gives up.
 
         Args:
             engine: The engine.
-            target: Layers that it is to hold.
+            target: Layers that the engine is assigned to.
 
         Returns:
-            One holder of each layer, few of them.
+            One holder of each layer that has any, chosen greedily to be few.
         """
         found: list[Engine] = []
         for layer in engine.holds:
@@ -74,7 +74,7 @@
         return tuple(found)
 
     def _others_hold(self, engine: Engine, layer: int) -> bool:
-        """Returns whether another engine keeps a layer of this one."""
+        """Returns whether another engine serves a layer of this one."""
         own = 1 if engine.name in self._engines else 0
         return self._counts[layer] > own
 
--- a/caroblug/core/placement/_types.py
+++ b/caroblug/core/placement/_types.py
@@ -1,4 +1,4 @@
-"""Engines, the layers they hold, and the model the layers belong to."""
+"""Engines, layer ranges and the properties of a model that placement uses."""
 
 from collections.abc import Iterator
 
@@ -7,11 +7,11 @@
 
 @attrs.frozen
 class LayerRange:
-    """Consecutive layers.
+    """A range of consecutive layers.
 
     Attributes:
         first: First layer.
-        end: One past the last layer; equal to `first` if there is none.
+        end: One past the last layer; equal to `first` in an empty range.
     """
 
     first: int
@@ -35,11 +35,12 @@
     """A kind of accelerator.
 
     Attributes:
-        name: Its name.
-        memory_mb: Memory for layers and for requests, in MB.
-        step_time_factor: Time of a token step, as a multiple of the model's.
-        prefill_time_factor: Time of reading a prompt, as a multiple of the
-            model's.
+        name: Name of the kind.
+        memory_mb: Memory for weights and KV cache, in MB.
+        step_time_factor: Time of a decode step, as a multiple of the model's
+            `step_ms`.
+        prefill_time_factor: Time of a prefill, as a multiple of the model's
+            `prefill_ms`.
     """
 
     name: str
@@ -50,23 +51,23 @@
 
 @attrs.frozen
 class ModelShape:
-    """A model as its placement sees it.
+    """Size and timing of a model, as far as placement depends on them.
 
     Attributes:
         layers: Number of layers.
         layer_mb: Memory of one layer's weights, in MB.
-        kv_mb: Memory of one token in one layer, in MB.
-        step_ms: Time of one token step through all layers, at pace 1.
-        mean_request_tokens: Mean prompt and answer of a request together, in
+        kv_mb: KV cache memory of one token in one layer, in MB.
+        step_ms: Time of one decode step through all layers, at time factor 1.
+        mean_request_tokens: Mean length of prompt and answer together, in
             tokens.
         kinds: Kinds of accelerator by name.
         load_s: Time to load all layers, in seconds.
-        transfer_ms: Time that a usual prompt's activations take from one data
-            centre to another, when nobody else uses the link.
-        prefill_ms: Time of reading a usual prompt through all layers, at pace
-            1.
-        prefill_steps: Token steps of other requests that come between the
-            pieces in which a usual prompt is read.
+        transfer_ms: Time to send the activations of a prompt of mean length
+            from one data centre to another over an otherwise idle link.
+        prefill_ms: Time to prefill a prompt of mean length through all
+            layers, at time factor 1.
+        prefill_steps: Decode steps of other requests that run between the
+            chunks in which a prompt of mean length is prefilled.
     """
 
     layers: int
@@ -81,11 +82,11 @@
     prefill_steps: int = 0
 
     def max_layers(self, kind: EngineKind, requests: int) -> int:
-        """Returns how many layers fit beside the memory of `requests`.
+        """Returns how many layers fit beside the KV cache of `requests`.
 
         Args:
-            kind: The engine's kind.
-            requests: Requests of usual size that are to run at once.
+            kind: Kind of the engine.
+            requests: Concurrent requests of mean length.
         """
         layer_mb = (
             self.layer_mb + requests * self.mean_request_tokens * self.kv_mb
@@ -93,18 +94,18 @@
         return min(self.layers, int(kind.memory_mb / layer_mb))
 
     def prefill_time_ms(self, kind: EngineKind, layers: int) -> float:
-        """Returns how long an engine is busy with a usual prompt, in ms.
+        """Returns how long a prompt of mean length occupies an engine, in ms.
 
         Args:
-            kind: The engine's kind.
-            layers: Layers that the engine runs.
+            kind: Kind of the engine.
+            layers: Number of layers that the engine runs.
         """
         prompt_ms = self.prefill_ms * kind.prefill_time_factor
         steps_ms = self.prefill_steps * self.step_ms * kind.step_time_factor
         return (prompt_ms + steps_ms) * layers / self.layers
 
     def token_capacity(self, kind: EngineKind, layers: int) -> float:
-        """Returns how many tokens fit beside `layers` layers."""
+        """Returns how many tokens of KV cache fit beside `layers` layers."""
         if layers <= 0 or self.kv_mb <= 0:
             return 0.0
         kv_cache_mb = max(0.0, kind.memory_mb - layers * self.layer_mb)
@@ -113,15 +114,15 @@
 
 @attrs.frozen
 class Engine:
-    """A model engine as placement and paths see it.
+    """A model engine with the layers that it holds.
 
     Attributes:
-        name: Identity of this start of the engine.
-        address: Where it answers, host and port.
-        data_centre: Where it runs.
+        name: Identity of this run of the engine.
+        address: Host and port at which it serves.
+        data_centre: Data centre in which it runs.
         kind: Kind of accelerator.
-        holds: Layers it has, or will have once a load has ended.
-        loading: Whether an order is still being carried out.
+        holds: Layers that it holds, or will hold once a load has finished.
+        loading: Whether an order is being carried out.
         order_unconfirmed: Whether an order got no answer and may still be
             carried out.
     """
