--- a/caroblug/core/access/_configuration.py
+++ b/caroblug/core/access/_configuration.py
@@ -139,6 +139,6 @@
     for route in routes:
         by_host.setdefault(route.host, []).append(route)
     return {
-        host: tuple(sorted(found, key=lambda r: -len(r.prefix)))
-        for host, found in by_host.items()
+        host: tuple(sorted(host_routes, key=lambda r: -len(r.prefix)))
+        for host, host_routes in by_host.items()
     }
