--- a/caroblug/core/access/__init__.py
+++ b/caroblug/core/access/__init__.py
@@ -1,4 +1,4 @@
-"""Who may ask what, and which service a request goes to."""
+"""Admission of requests by route and API key, and choice of the service."""
 
 from caroblug.core.access._configuration import (
     Account,
--- a/caroblug/core/access/_configuration.py
+++ b/caroblug/core/access/_configuration.py
@@ -1,4 +1,4 @@
-"""One version of the configuration: routes, services, client accounts."""
+"""Routes, services and client accounts of a configuration version."""
 
 import enum
 
@@ -8,7 +8,7 @@
 
 
 class RouteKind(enum.Enum):
-    """What may be repeated."""
+    """Whether requests of a route may be retried."""
 
     SAFE = "safe"
     UNSAFE = "unsafe"
@@ -17,7 +17,12 @@
 
 @attrs.frozen
 class Share:
-    """A service's part of a route's requests."""
+    """A service and the part of a route's requests that it receives.
+
+    Attributes:
+        service: Name of the service.
+        weight: Part of the requests, relative to the route's other weights.
+    """
 
     service: str
     weight: float
@@ -25,22 +30,24 @@
 
 @attrs.frozen
 class Route:
-    """Requests of one host and path.
+    """Handling of the requests for one host and path prefix.
 
     Attributes:
-        name: Its name.
-        host: Host that callers name, in lower case.
-        prefix: Path that requests begin with; ends with a slash.
-        kind: What may be repeated.
-        shares: Services that requests are spread over.
-        timeout_ms: Longest time that a request may take.
-        latency_target_ms: Time in which an answer, or a stream's first event,
-            is due.
-        priority: 0 is the most urgent.
-        max_attempts: Engines that one request may run on.
-        public: Whether no key is needed.
-        resumable: Whether a stream may be continued at another engine.
-        pause_ms: Longest pause between events that is on time.
+        name: Name of the route.
+        host: Host of the requests, in lower case.
+        prefix: Prefix of the requests' paths; ends with a slash.
+        kind: Whether requests may be retried.
+        shares: Services among which requests are divided.
+        timeout_ms: Maximum duration of a request.
+        latency_target_ms: Time within which an answer, or the first event of a
+            stream, is due.
+        priority: Priority of requests; 0 is the highest.
+        max_attempts: Maximum number of backend servers on which a request may
+            run.
+        public: Whether requests need no API key.
+        resumable: Whether a stream may be continued on another engine.
+        pause_ms: Maximum pause between two events of a stream that counts as
+            on time; 0 for no maximum.
     """
 
     name: str
@@ -58,7 +65,7 @@
 
     @property
     def retryable(self) -> bool:
-        """Whether a request may run more than once."""
+        """Whether a request that has run may be sent again."""
         if self.kind is RouteKind.STREAMING:
             return self.resumable
         return self.kind is RouteKind.SAFE
@@ -66,13 +73,14 @@
 
 @attrs.frozen
 class Service:
-    """Backend servers that do the same work.
+    """Group of interchangeable backend servers, or of engines of one model.
 
     Attributes:
-        name: Its name.
-        health_path: Path that tells whether a backend server is healthy.
-        max_connections: Connections that one backend server takes.
-        model: The model, if its layers are spread over engines.
+        name: Name of the service.
+        health_path: Path of the backend servers' health check.
+        max_connections: Maximum number of connections to one backend server.
+        model: Model whose layers are distributed over the service's engines;
+            None for a service without a model.
     """
 
     name: str
@@ -83,9 +91,16 @@
 
 @attrs.frozen
 class RequestLimits:
-    """What a caller may send, and how slowly.
+    """Limits on the size and duration of receiving a request.
 
-    The defaults hold until a configuration is known.
+    The defaults apply until a configuration has been read.
+
+    Attributes:
+        header_bytes: Maximum size of the request line and headers.
+        body_bytes: Maximum size of the body.
+        header_ms: Maximum time to receive the headers.
+        idle_ms: Maximum time to receive the body, and maximum time that a
+            connection stays open between requests.
     """
 
     header_bytes: int = 16384
@@ -99,8 +114,9 @@
     """A client account.
 
     Attributes:
-        name: Its name.
-        priority: Goes before its routes' priorities; None leaves them.
+        name: Name of the account.
+        priority: Priority that overrides the priority of the routes; None to
+            use theirs.
     """
 
     name: str
@@ -109,14 +125,14 @@
 
 @attrs.frozen
 class Configuration:
-    """One version, whole.
+    """One complete version of the configuration.
 
     Attributes:
-        version: Grows with each change, in uneven steps.
+        version: Number that increases with each change, not always by one.
         routes: Routes by host, longest prefix first.
         services: Services by name.
-        limits: What callers may send.
-        keys: Client accounts by API key; None if no request needs a key.
+        limits: Limits on requests.
+        keys: Client accounts by API key; None if no route requires a key.
     """
 
     version: int
@@ -126,7 +142,7 @@
     keys: dict[str, Account] | None = None
 
     def find_route(self, host: str, path: str) -> Route | None:
-        """Returns the route with the longest prefix of the path."""
+        """Returns the route whose prefix is the longest match of a path."""
         for route in self.routes.get(host, ()):
             if path.startswith(route.prefix):
                 return route
--- a/caroblug/core/access/_decisions.py
+++ b/caroblug/core/access/_decisions.py
@@ -1,4 +1,4 @@
-"""Whether a request is let in, and where it goes."""
+"""Decision whether a request is admitted, and to which service."""
 
 import enum
 import random
@@ -14,7 +14,7 @@
 
 
 class DenialReason(enum.Enum):
-    """Why a request is not let in."""
+    """Reason why a request is denied."""
 
     NOT_CONFIGURED = "not_configured"
     NO_ROUTE = "no_route"
@@ -24,21 +24,22 @@
 
 @attrs.frozen
 class Denied:
-    """The request is not let in; nothing of it has run."""
+    """Decision to deny a request, no part of which has run."""
 
     reason: DenialReason
 
 
 @attrs.frozen
 class Admitted:
-    """The request may go to a service.
+    """Decision to send a request to a service.
 
     Attributes:
-        route: Its route.
-        service: The service that was drawn from the route's shares.
-        account: Whose request it is; None on a public route.
-        priority: Rank of the request, 0 first.
-        version: Version of the configuration that decided.
+        route: Route of the request.
+        service: Service that was drawn from the route's shares.
+        account: Client account of the API key; None if the request has no
+            known key.
+        priority: Priority of the request; 0 is the highest.
+        version: Version of the configuration on which the decision is based.
     """
 
     route: Route
@@ -55,15 +56,19 @@
     key: str | None,
     rng: random.Random,
 ) -> Admitted | Denied:
-    """Decides whether a request is let in.
+    """Returns whether a request is admitted, and to which service.
 
     Args:
-        configuration: The newest one; None before the first is known. An
-            entry that knows none can't tell a wrong path from a right one.
-        host: Host that the caller named, without a port.
-        path: Path without the query.
-        key: The caller's API key, if it sent one.
-        rng: Draws the service.
+        configuration: Newest configuration; None before the first has been
+            read. The request is then denied as `NOT_CONFIGURED`, because an
+            unknown path or key can't be told from a valid one.
+        host: Host of the request, without the port.
+        path: Path of the request, without the query.
+        key: API key of the request, if it has one.
+        rng: Source of randomness for the choice of the service.
+
+    Returns:
+        The decision.
     """
     if configuration is None:
         return Denied(DenialReason.NOT_CONFIGURED)
