--- a/caroblug/core/access/tests/test_decisions.py
+++ b/caroblug/core/access/tests/test_decisions.py
@@ -1,4 +1,4 @@
-"""Routes, keys and shares of services."""
+"""Tests of route matching, API keys and the choice of a service."""
 
 import random
 
@@ -61,7 +61,8 @@
 
 
 def test_requests_are_denied_as_not_configured_before_a_configuration():
-    # Guards against 404 or 401 for what no configuration has yet been read.
+    # Guards against a 404 or 401 for a valid request while no configuration
+    # has been read.
     assert decide(None) == Denied(DenialReason.NOT_CONFIGURED)
 
 
--- a/caroblug/core/placement/tests/fleets.py
+++ b/caroblug/core/placement/tests/fleets.py
@@ -1,4 +1,4 @@
-"""Fleets for tests: two sites' worth of mixed accelerators."""
+"""Fleets of engines on mixed accelerators, for tests."""
 
 from caroblug.core.placement import (
     Engine,
@@ -26,7 +26,9 @@
     "b": (1, 7, 5),
     "c": (2, 3, 5),
 }
-"""Engines of each kind by data centre: 38 in all, 4.2 covers of the model."""
+"""Number of big, middle and small engines by data centre.
+
+The 38 engines hold 4.2 times the layers of the model."""
 
 
 def make_engine(
@@ -37,7 +39,7 @@
     end: int = 0,
     loading: bool = False,
 ) -> Engine:
-    """Returns an engine that holds layers `first` to `end`."""
+    """Returns an engine that holds the layers from `first` up to `end`."""
     number = sum(map(ord, name)) % 60000
     return Engine(
         name,
@@ -50,7 +52,7 @@
 
 
 def make_fleet() -> list[Engine]:
-    """Returns the engines of three data centres, all empty."""
+    """Returns the engines of three data centres, none of which holds layers."""
     engines = []
     for data_centre, counts in DATA_CENTRES.items():
         for kind, count in zip((BIG, MIDDLE, SMALL), counts, strict=True):
@@ -62,7 +64,7 @@
 
 
 def apply_moves(engines: list[Engine], moves) -> list[Engine]:
-    """Returns the engines after orders have been carried out."""
+    """Returns the engines after moves have been carried out."""
     targets = {move.engine.name: move.target for move in moves}
     return [
         make_engine(
--- a/caroblug/core/placement/tests/test_paths.py
+++ b/caroblug/core/placement/tests/test_paths.py
@@ -1,4 +1,4 @@
-"""Paths: whole, in order, cheap, and around what may not be used."""
+"""Tests of the choice of paths and of the engine loads it uses."""
 
 import random
 
@@ -47,7 +47,8 @@
 
 
 def test_path_leaves_data_centre_with_a_coverage_gap():
-    # Guards against crossings in a path while another data centre has it whole.
+    # Guards against paths over several data centres while another one has a
+    # whole chain.
     engines = [e for e in make_planned_fleet() if e.name != "c-big-0"]
 
     path = choose(engines, data_centre="c")
@@ -57,7 +58,7 @@
 
 
 def test_slow_link_is_not_crossed_while_a_chain_has_free_tokens():
-    # Guards against streams that stand still as prompts fill a thin link.
+    # Guards against streams that stall while prompts fill a slow link.
     model = attrs.evolve(MODEL, transfer_ms=97.0)
     engines = [e for e in make_planned_fleet() if e.name != "c-big-0"]
     loads = EngineLoads()
@@ -101,7 +102,7 @@
 
 
 def test_engine_with_high_memory_use_is_avoided():
-    # Guards against preemption on the fastest chain while another one idles.
+    # Guards against preemption on the fastest chain while another chain idles.
     engines = [
         make_engine("x", BIG, first=0, end=16),
         make_engine("x2", BIG, first=0, end=16),
@@ -144,7 +145,7 @@
     path = choose(engines, seed=seed)
 
     if isinstance(path, Path):
-        # Path itself asserts that no layer is skipped or repeated.
+        # The constructor of Path rejects skipped and repeated layers.
         assert path.parts[-1].layers.end == MODEL.layers
         assert len(set(path.names)) == len(path.names)
     else:
@@ -157,15 +158,16 @@
 
 
 def test_load_is_not_scaled_up_if_all_local_gateways_report():
-    # Guards against load counted three times, which sends streams far away.
+    # Guards against local load counted three times, which sends streams to
+    # remote data centres.
     loads = EngineLoads()
     loads.gateways = 26
     loads.local_gateways = 6
     loads.add_request(("x",), 100)
     for number in range(5):
-        loads.update_peer(f"near{number}", {"x": 100.0})
+        loads.update_peer(f"local{number}", {"x": 100.0})
     for number in range(3):
-        loads.update_peer(f"far{number}", {"y": 10.0}, local=False)
+        loads.update_peer(f"remote{number}", {"y": 10.0}, local=False)
 
     assert loads.tokens("x") == 600
     assert loads.tokens("y") == 30 * 20 / 3
--- a/caroblug/core/placement/tests/test_planner.py
+++ b/caroblug/core/placement/tests/test_planner.py
@@ -1,4 +1,4 @@
-"""Plans over first starts, losses, empty and leaving engines."""
+"""Tests of plans after first starts, engine losses, restarts and loads."""
 
 import collections
 import random
@@ -64,7 +64,8 @@
 
 
 def test_restarted_engine_takes_its_layers_again():
-    # Guards against needless loads while an engine that is back fills its hole.
+    # Guards against needless loads when a restarted engine can close the gap
+    # that it left.
     engines = apply_moves(make_fleet(), plan_moves(make_fleet(), MODEL))
     lost = next(e for e in engines if e.name == "c-middle-0")
     restarted = make_engine(lost.name, lost.kind, lost.data_centre)
@@ -78,7 +79,7 @@
 
 
 def test_lost_engine_is_replaced_by_engines_with_replicas():
-    # Guards against a data centre that stays without a whole chain.
+    # Guards against a data centre that remains without a whole chain.
     engines = apply_moves(make_fleet(), plan_moves(make_fleet(), MODEL))
     lost = next(e for e in engines if e.name == "a-middle-0")
     engines = [e for e in engines if e is not lost]
@@ -101,7 +102,7 @@
 
 
 def test_gap_without_available_engines_is_closed_by_its_neighbours():
-    # Guards against layers that nobody holds because every engine is in use.
+    # Guards against a coverage gap that remains because every engine is used.
     engines = [
         make_engine("n1", BIG, first=0, end=14),
         make_engine("n2", BIG, first=16, end=30),
@@ -117,7 +118,7 @@
 
 
 def test_full_engine_does_not_grow_while_its_neighbour_has_room():
-    # Guards against a full engine on every path that turns requests away.
+    # Guards against a full engine that is on every path and rejects requests.
     engines = [
         make_engine("n1", BIG, first=0, end=14),
         make_engine("n2", BIG, first=16, end=32),
@@ -134,7 +135,8 @@
 
 
 def test_data_centre_with_memory_for_two_chains_gets_two():
-    # Guards against streams that cross though a second chain would fit here.
+    # Guards against streams sent to another data centre although a second
+    # local chain would fit.
     engines = [make_engine(f"m{i}", MIDDLE) for i in range(20)]
 
     after = apply_moves(engines, plan_moves(engines, MODEL))
@@ -144,7 +146,7 @@
 
 
 def test_one_chain_reserves_its_kv_cache_and_uses_every_engine():
-    # Guards against engines that are filled to the brim beside idle ones.
+    # Guards against full engines beside idle ones.
     engines = [make_engine(f"m{i}", MIDDLE) for i in range(12)]
 
     after = apply_moves(engines, plan_moves(engines, MODEL))
@@ -158,7 +160,8 @@
 
 
 def test_chain_consists_of_the_engines_that_save_most_time():
-    # Guards against slow streams, as fast engines hold few layers of the chain.
+    # Guards against slow streams because fast engines hold few of the chain's
+    # layers.
     engines = apply_moves(make_fleet(), plan_moves(make_fleet(), MODEL))
 
     path = choose_path(engines, MODEL, EngineLoads(), "a", random.Random(1))
@@ -170,7 +173,7 @@
 
 
 def test_engines_outside_the_chain_hold_replicas_of_its_layers():
-    # Guards against a data centre that all streams leave when one engine dies.
+    # Guards against a data centre that loses all streams when an engine dies.
     engines = apply_moves(make_fleet(), plan_moves(make_fleet(), MODEL))
     local = by_data_centre(engines)["a"]
 
@@ -184,7 +187,7 @@
 
 
 def test_fast_engine_takes_layers_that_only_slow_ones_hold():
-    # Guards against streams that stay slow after a fast engine is back.
+    # Guards against streams that remain slow after a fast engine restarts.
     engines = apply_moves(make_fleet(), plan_moves(make_fleet(), MODEL))
     lost = next(e for e in engines if e.name == "a-big-0")
     rest = [e for e in engines if e is not lost]
@@ -267,7 +270,8 @@
 
 @hypothesis.given(fleets())
 def test_layers_are_given_up_only_if_another_engine_has_and_keeps_them(engines):
-    # Guards against a sound part that leaves while its second holder loads.
+    # Guards against an engine that gives up a layer while the layer's other
+    # holder is still loading.
     moves = {m.engine.name: m for m in plan_moves(engines, MODEL)}
     serving = collections.defaultdict(int)
     for engine in engines:
@@ -303,7 +307,8 @@
 def test_requests_per_chain_follow_the_gateways(
     gateways, data_centres, requests
 ):
-    # Guards against chains full at the first crash, with many gateways.
+    # Guards against chains that are full at the first crash when many gateways
+    # send requests.
     assert compute_requests_per_chain(gateways, data_centres) == requests
 
 
@@ -317,7 +322,8 @@
 
 
 def test_two_holders_of_the_same_layers_are_not_both_sent_away():
-    # Guards against two engines that each pass for the other's second holder.
+    # Guards against two engines that each count as the other's remaining
+    # holder.
     engines = [
         make_engine("x", MIDDLE, first=0, end=8),
         make_engine("y", MIDDLE, first=0, end=8),
@@ -334,7 +340,7 @@
 def serving(
     engines: list[Engine], data_centre: str, layer: int
 ) -> list[Engine]:
-    """Returns engines that serve a layer and aren't about to change."""
+    """Returns engines that serve a layer and have no unconfirmed order."""
     return [
         e
         for e in engines
@@ -359,7 +365,8 @@
 
 @hypothesis.given(fleets(), st.randoms(use_true_random=False))
 def test_no_layer_loses_its_last_serving_holder_over_rounds(engines, rng):
-    # Guards against layers without a holder while loads end late or never.
+    # Guards against layers without a serving holder while loads finish late or
+    # not at all.
     for _ in range(8):
         moves = plan_moves(engines, MODEL)
         assert_given_up_layers_are_served(engines, moves)
@@ -378,7 +385,8 @@
 
 @hypothesis.given(fleets(), st.randoms(use_true_random=False))
 def test_engines_that_may_still_be_sent_away_are_not_relied_on(engines, rng):
-    # Guards against a late order that takes the last holder of a layer away.
+    # Guards against an order that is carried out late and reassigns the last
+    # holder of a layer.
     engines = [
         attrs.evolve(e, order_unconfirmed=rng.random() < 0.3) for e in engines
     ]
@@ -387,7 +395,8 @@
 
 
 def test_holder_that_grows_is_not_relied_on_by_one_that_leaves():
-    # Guards against layers whose one holder leaves while the other one loads.
+    # Guards against layers of which one holder is reassigned while the other
+    # one loads.
     engines = [
         make_engine("x", MIDDLE, first=0, end=8),
         make_engine("y", BIG, first=0, end=14),
--- a/caroblug/core/placement/tests/test_returning_callers.py
+++ b/caroblug/core/placement/tests/test_returning_callers.py
@@ -1,7 +1,8 @@
-"""Callers who come back all at once, after all gateways were gone.
+"""Tests that simultaneous prompts are spread over chains.
 
-Each gateway sends some requests before it can hear of any other's. Prompts
-wait for each other on the engines of the quickest chain while others idle.
+After a loss of all gateways, callers return at once. Each gateway sends some
+requests before it receives the others' reports. Without spreading, prompts
+queue on the engines of the fastest chain while other engines idle.
 """
 
 import collections
@@ -38,7 +39,7 @@
 
 
 def count_prompts(requests_per_gateway: int) -> collections.Counter[str]:
-    """Returns the prompts on each engine after each gateway's requests."""
+    """Returns the number of prompts on each engine."""
     engines = make_data_centre()
     prompts: collections.Counter[str] = collections.Counter()
     for gateway in range(GATEWAYS):
@@ -53,7 +54,7 @@
 
 
 def test_simultaneous_prompts_are_spread_over_chains():
-    # Guards against first events that wait for the prompts of everybody else.
+    # Guards against first events that wait for all other prompts' prefills.
     prompts = count_prompts(6)
 
     longest_ms = max(
@@ -65,7 +66,7 @@
 
 
 def test_single_requests_take_the_fastest_chain():
-    # Guards against slower chains where nothing waits.
+    # Guards against use of slower chains while no prefills are pending.
     first = set(count_prompts(1))
     fastest = choose_path(
         make_data_centre(),
