--- a/caroblug/gateway/__init__.py
+++ b/caroblug/gateway/__init__.py
@@ -1,28 +1,32 @@
 """The gateway: an entry before engines that pass tokens on themselves."""
 
 from caroblug.gateway._caller_requests import RawRequest
-from caroblug.gateway._first_settings import read_first_settings
+from caroblug.gateway._exchange_results import (
+    ExchangeFailure,
+    HttpResponse,
+    ResponseHead,
+)
 from caroblug.gateway._gateway import Gateway, make_gateway
 from caroblug.gateway._http_client import Address, fetch, format_request
+from caroblug.gateway._initial_settings import read_initial_settings
 from caroblug.gateway._interfaces import (
-    AnswerFacts,
+    AnswerMetadata,
     BackendServer,
     CallerRequest,
     ConfigurationRead,
     Dialect,
     EngineReport,
+    ForwardMetadata,
     Listing,
     Member,
-    NothingNew,
+    NoChange,
     OrderOutcome,
+    PlacementLease,
     Registry,
     RunState,
-    Sending,
-    Tenure,
     Unavailable,
     make_listing,
 )
-from caroblug.gateway._outcomes import Answer, Broken, Head
 from caroblug.gateway._settings import (
     GatewaySettings,
     SettingsProblem,
@@ -31,32 +35,32 @@
 
 __all__ = [
     "Address",
-    "Answer",
-    "AnswerFacts",
+    "AnswerMetadata",
     "BackendServer",
-    "Broken",
     "CallerRequest",
     "ConfigurationRead",
     "Dialect",
     "EngineReport",
+    "ExchangeFailure",
+    "ForwardMetadata",
     "Gateway",
     "GatewaySettings",
-    "Head",
+    "HttpResponse",
     "Listing",
     "Member",
-    "NothingNew",
+    "NoChange",
     "OrderOutcome",
+    "PlacementLease",
     "RawRequest",
     "Registry",
+    "ResponseHead",
     "RunState",
-    "Sending",
     "SettingsProblem",
-    "Tenure",
     "Unavailable",
     "check_gateway_settings",
     "fetch",
     "format_request",
     "make_gateway",
     "make_listing",
-    "read_first_settings",
+    "read_initial_settings",
 ]
--- a/caroblug/gateway/_crashes.py
+++ b/caroblug/gateway/_crash_suspicions.py
@@ -9,10 +9,10 @@
 import hashlib
 
 from caroblug.core.limits import Suspicion, Suspicions, Verdict
+from caroblug.gateway._exchange_results import FailureKind
 from caroblug.gateway._fleet import Fleet
 from caroblug.gateway._http_client import Address, Exchange
-from caroblug.gateway._outcomes import Failure
-from caroblug.gateway._pending import Pending
+from caroblug.gateway._pending_request import PendingRequest
 from caroblug.utils import Clock
 
 QUARANTINE_CRASHES = 3
@@ -26,7 +26,7 @@
 _MOST_TOLD = 50
 
 
-class Crashes:
+class CrashSuspicions:
     """Suspicions of one gateway.
 
     Args:
@@ -39,7 +39,7 @@
         self._fleet = fleet
         self._suspicions = Suspicions(QUARANTINE_CRASHES)
 
-    def is_quarantined(self, pending: Pending) -> bool:
+    def is_quarantined(self, pending: PendingRequest) -> bool:
         """Returns whether a request may not run."""
         if not len(self._suspicions):
             return False
@@ -48,7 +48,9 @@
         )
         return verdict is Verdict.QUARANTINED
 
-    def on_lost(self, pending: Pending, name: str, address: Address) -> bool:
+    def on_connection_lost(
+        self, pending: PendingRequest, name: str, address: Address
+    ) -> bool:
         """Suspects a request whose connection broke, if a process ended.
 
         Args:
@@ -64,12 +66,12 @@
         exchange = Exchange(address)
         problem = exchange.connect(_PROBE_S)
         exchange.close()
-        if problem is None or problem.failure is not Failure.REFUSED:
+        if problem is None or problem.failure is not FailureKind.REFUSED:
             return False
-        self.on_ended(pending, name)
+        self.on_process_ended(pending, name)
         return True
 
-    def on_ended(self, pending: Pending, name: str) -> None:
+    def on_process_ended(self, pending: PendingRequest, name: str) -> None:
         """Suspects a request that was on a backend server as it ended."""
         self._suspicions.on_suspicion(
             Suspicion(
@@ -93,15 +95,15 @@
         listed = self._fleet.listing.backends.get(name)
         return f"{name}/{listed.started_ms if listed else 0}"
 
-    def tell(self) -> list[list]:
+    def export(self) -> list[list]:
         """Returns what other gateways should know."""
-        known = self._suspicions.suspected(self._clock.now_ms())
+        known = self._suspicions.all_live(self._clock.now_ms())
         return [
             [s.fingerprint, s.client_account, s.crash, s.remaining_ms]
             for s in known[-_MOST_TOLD:]
         ]
 
-    def hear(self, told: list) -> None:
+    def merge(self, told: list) -> None:
         """Takes what another gateway knows."""
         now_ms = self._clock.now_ms()
         for print_, account, crash, remaining_ms in told:
@@ -118,7 +120,7 @@
             )
 
 
-def fingerprint(pending: Pending) -> str:
+def fingerprint(pending: PendingRequest) -> str:
     """Returns what equal requests of one client account have in common."""
     digest = hashlib.blake2b(digest_size=12)
     for part in (
--- a/caroblug/gateway/_calls.py
+++ b/caroblug/gateway/_plain_calls.py
@@ -4,20 +4,25 @@
 
 import attrs
 
-from caroblug.gateway._connecting import CONNECT_S
+from caroblug.gateway._connect_attempts import CONNECT_TIMEOUT_S
 from caroblug.gateway._context import Context
-from caroblug.gateway._crashes import Crashes
-from caroblug.gateway._fleet import seems_gone
+from caroblug.gateway._crash_suspicions import CrashSuspicions
+from caroblug.gateway._exchange_results import (
+    ExchangeFailure,
+    FailureKind,
+    ReadTimeout,
+    ResponseHead,
+)
+from caroblug.gateway._fleet import warrants_ejection
 from caroblug.gateway._http_client import Exchange
 from caroblug.gateway._interfaces import (
-    AnswerFacts,
+    AnswerMetadata,
     BackendServer,
+    ForwardMetadata,
     RunState,
-    Sending,
 )
-from caroblug.gateway._outcomes import Broken, Failure, Head, Quiet
-from caroblug.gateway._pending import Answers, Pending
-from caroblug.gateway._repeats import Repeats
+from caroblug.gateway._pending_request import GatewayResponses, PendingRequest
+from caroblug.gateway._shared_retry_budget import SharedRetryBudget
 
 _MOST_SENDS = 4
 """Sends of one request, those that were turned away included."""
@@ -53,29 +58,32 @@
 
     next: Next
     reason: str = ""
-    head: Head | None = None
-    facts: AnswerFacts | None = None
+    head: ResponseHead | None = None
+    facts: AnswerMetadata | None = None
     body: bytes = b""
 
 
-class Calls:
+class PlainCallHandler:
     """Answers calls.
 
     Args:
         context: What the gateway's parts share.
         crashes: Requests that crash backend servers.
-        repeats: Allows requests to be sent once more.
+        retry_budget: Allows requests to be sent once more.
     """
 
     def __init__(
-        self, context: Context, crashes: Crashes, repeats: Repeats
+        self,
+        context: Context,
+        crashes: CrashSuspicions,
+        retry_budget: SharedRetryBudget,
     ) -> None:
         self._context = context
         self._crashes = crashes
-        self._repeats = repeats
-        self._answers = Answers(context)
+        self._retry_budget = retry_budget
+        self._responses = GatewayResponses(context)
 
-    def serve(self, pending: Pending) -> None:
+    def serve(self, pending: PendingRequest) -> None:
         """Answers one call, at the end of its time at the latest."""
         clock = self._context.clock
         repeatable = pending.admitted.route.retryable
@@ -88,7 +96,7 @@
             )
             if backend is None:
                 break
-            if pending.sends and not self._repeats.take(
+            if pending.sends and not self._retry_budget.take(
                 pending.admitted.service.name
             ):
                 break
@@ -108,19 +116,19 @@
                 break
         self._give_up(pending, last)
 
-    def _try(self, pending: Pending, backend: BackendServer) -> Tried:
+    def _try(self, pending: PendingRequest, backend: BackendServer) -> Tried:
         """Sends the call to one backend server and waits for its answer."""
         context = self._context
         pending.tried.add(backend.name)
         exchange = Exchange(backend.address)
-        context.fleet.enter(backend.name)
+        context.fleet.begin_request(backend.name)
         try:
             tried = self._exchange(pending, backend, exchange)
         finally:
             exchange.close()
-            context.fleet.leave(backend.name)
+            context.fleet.end_request(backend.name)
         if tried.next is not Next.ANSWERED:
-            context.tallies.count("tries_failed", reason=tried.reason)
+            context.telemetry.count("tries_failed", reason=tried.reason)
             context.log.write(
                 "call.try_failed",
                 request=pending.caller.id,
@@ -131,12 +139,15 @@
         return tried
 
     def _exchange(
-        self, pending: Pending, backend: BackendServer, exchange: Exchange
+        self,
+        pending: PendingRequest,
+        backend: BackendServer,
+        exchange: Exchange,
     ) -> Tried:
         context = self._context
         clock = context.clock
         left_s = pending.left_ms(clock.now_ms()) / 1000
-        problem = exchange.connect(min(CONNECT_S, left_s))
+        problem = exchange.connect(min(CONNECT_TIMEOUT_S, left_s))
         if problem is None:
             pending.on_send(self._context)
             data = self._encode(pending, backend)
@@ -144,13 +155,13 @@
         if problem is not None:
             return self._on_broken(pending, backend, problem)
         head = exchange.read_head(self._patience_s(pending))
-        if isinstance(head, Quiet):
+        if isinstance(head, ReadTimeout):
             pending.ran += 1
             return Tried(Next.SILENT, "no answer in time")
-        if isinstance(head, Broken):
+        if isinstance(head, ExchangeFailure):
             return self._on_broken(pending, backend, head)
         facts = context.dialect.decode_answer(head)
-        context.fleet.on_answer(
+        context.fleet.on_response(
             backend.name, facts.running, facts.waiting, clock.now_ms()
         )
         if facts.run is RunState.NOT_RUN:
@@ -159,23 +170,26 @@
         pending.ran += 1
         left_s = pending.left_ms(clock.now_ms()) / 1000
         body = exchange.read_body(left_s)
-        if isinstance(body, Quiet):
+        if isinstance(body, ReadTimeout):
             return Tried(Next.SILENT, "body not whole in time")
-        if isinstance(body, Broken):
+        if isinstance(body, ExchangeFailure):
             return Tried(Next.FAILED, f"body {body.failure.value}")
         if facts.request_id != pending.caller.id:
             # An answer to something else says nothing about this request.
-            return Tried(Next.FAILED, Failure.WRONG_ANSWER.value)
+            return Tried(Next.FAILED, FailureKind.WRONG_ANSWER.value)
         if not facts.genuine:
             return Tried(Next.FAILED, f"unproved answer {head.status}")
         return Tried(Next.ANSWERED, "", head, facts, body)
 
     def _on_broken(
-        self, pending: Pending, backend: BackendServer, broken: Broken
+        self,
+        pending: PendingRequest,
+        backend: BackendServer,
+        broken: ExchangeFailure,
     ) -> Tried:
         context = self._context
-        if seems_gone(broken.failure):
-            for_ms = context.fleet.avoid(backend.name, context.clock.now_ms())
+        if warrants_ejection(broken.failure):
+            for_ms = context.fleet.eject(backend.name, context.clock.now_ms())
             context.log.write(
                 "backend_server.avoided",
                 backend_server=backend.name,
@@ -185,11 +199,11 @@
         if not broken.sent:
             return Tried(Next.NOT_SENT, broken.failure.value)
         pending.ran += 1
-        self._crashes.on_lost(pending, backend.name, backend.address)
+        self._crashes.on_connection_lost(pending, backend.name, backend.address)
         return Tried(Next.FAILED, broken.failure.value)
 
-    def _encode(self, pending: Pending, backend: BackendServer) -> bytes:
-        sending = Sending(
+    def _encode(self, pending: PendingRequest, backend: BackendServer) -> bytes:
+        sending = ForwardMetadata(
             backend=backend.name,
             left_ms=pending.left_ms(self._context.clock.now_ms()),
             account=pending.account,
@@ -200,17 +214,17 @@
             pending.request, pending.caller, sending
         )
 
-    def _bodiless(self, pending: Pending) -> bool:
+    def _bodiless(self, pending: PendingRequest) -> bool:
         return pending.request.method == "HEAD"
 
-    def _patience_s(self, pending: Pending) -> float:
+    def _patience_s(self, pending: PendingRequest) -> float:
         left_s = pending.left_ms(self._context.clock.now_ms()) / 1000
         route = pending.admitted.route
         if route.retryable and pending.ran + 1 < route.max_attempts:
             return left_s * _PATIENCE
         return left_s
 
-    def _worth_another(self, pending: Pending, tried: Tried) -> bool:
+    def _worth_another(self, pending: PendingRequest, tried: Tried) -> bool:
         """Returns whether a failure of the backend server is tried again."""
         route = pending.admitted.route
         return (
@@ -219,20 +233,20 @@
             and pending.ran < route.max_attempts
         )
 
-    def _pass_on(self, pending: Pending, tried: Tried) -> None:
+    def _pass_on(self, pending: PendingRequest, tried: Tried) -> None:
         status = tried.head.status
-        self._answers.log(pending, status)
+        self._responses.log(pending, status)
         pending.reply.send(status, list(tried.facts.headers), tried.body)
 
-    def _give_up(self, pending: Pending, last: Tried) -> None:
+    def _give_up(self, pending: PendingRequest, last: Tried) -> None:
         if last.next is Next.ANSWERED:
             self._pass_on(pending, last)
         elif not pending.ran:
-            self._answers.refuse(pending, last.reason)
+            self._responses.refuse(pending, last.reason)
         elif last.next is Next.SILENT:
-            self._answers.fail(pending, 504, last.reason)
+            self._responses.fail(pending, 504, last.reason)
         else:
-            self._answers.fail(pending, 502, last.reason)
+            self._responses.fail(pending, 502, last.reason)
 
 
 def _better(before: Tried, now: Tried) -> Tried:
--- a/caroblug/gateway/_stream_choice.py
+++ b/caroblug/gateway/_stream_retry_policy.py
@@ -3,12 +3,12 @@
 import gevent
 
 from caroblug.core.placement import NoPath, Path
-from caroblug.gateway._crashes import Crashes
-from caroblug.gateway._repeats import Repeats
-from caroblug.gateway._runs import RunEnd, RunResult
+from caroblug.gateway._crash_suspicions import CrashSuspicions
+from caroblug.gateway._run_results import RunEnd, RunResult
+from caroblug.gateway._shared_retry_budget import SharedRetryBudget
 from caroblug.gateway._stream_state import StreamState
 
-PAUSE_MOST_MS = 1400
+MAX_PAUSE_MS = 1400
 """Pause after which a stream is continued elsewhere though nothing was found:
 callers leave after two seconds."""
 
@@ -19,21 +19,24 @@
 """Use of the fullest engine of a path below which it has room for one more."""
 
 
-class StreamChoice:
+class StreamRetryPolicy:
     """Chooses paths for one stream and counts its runs.
 
     Args:
         state: The stream.
         crashes: Requests that crash backend servers.
-        repeats: Allows requests to be sent once more.
+        retry_budget: Allows requests to be sent once more.
     """
 
     def __init__(
-        self, state: StreamState, crashes: Crashes, repeats: Repeats
+        self,
+        state: StreamState,
+        crashes: CrashSuspicions,
+        retry_budget: SharedRetryBudget,
     ) -> None:
         self._state = state
         self._crashes = crashes
-        self._repeats = repeats
+        self._retry_budget = retry_budget
         self._has_repeat = False
 
     def choose_path(self) -> Path | NoPath:
@@ -80,7 +83,7 @@
         state = self._state
         if not state.pending.reply.begun or not self._may_begin_anew():
             return False
-        if state.now_ms - state.last_event_ms > PAUSE_MOST_MS:
+        if state.now_ms - state.last_event_ms > MAX_PAUSE_MS:
             return False
         state.avoid.clear()
         gevent.sleep(_LOOK_AGAIN_S)
@@ -90,7 +93,7 @@
         """Takes a repeat unless one is kept; returns whether there is one."""
         if not self._has_repeat:
             service = self._state.pending.admitted.service.name
-            self._has_repeat = self._repeats.take(service)
+            self._has_repeat = self._retry_budget.take(service)
         return self._has_repeat
 
     def on_run(self) -> None:
--- a/caroblug/gateway/_stream_state.py
+++ b/caroblug/gateway/_stream_state.py
@@ -6,8 +6,8 @@
 from caroblug.gateway._context import Context
 from caroblug.gateway._events import EventPace, EventSequence
 from caroblug.gateway._http_client import Exchange
-from caroblug.gateway._pending import Pending
-from caroblug.gateway._timeliness import Timeliness
+from caroblug.gateway._pending_request import PendingRequest
+from caroblug.gateway._stream_latency import StreamLatency
 
 
 @attrs.define
@@ -29,8 +29,8 @@
     """
 
     context: Context
-    pending: Pending
-    times: Timeliness
+    pending: PendingRequest
+    times: StreamLatency
     events: EventSequence
     path: Path | None = None
     exchange: Exchange | None = None
@@ -66,12 +66,12 @@
         self._reading = path.names
         self.context.fleet.loads.begin_prefill(self._reading)
         self.exchange = Exchange(path.first.address)
-        self.context.fleet.enter(path.first.name)
+        self.context.fleet.begin_request(path.first.name)
 
     def end_run(self) -> None:
         """Ends a run, however it went."""
         self.exchange.close()
-        self.context.fleet.leave(self.path.first.name)
+        self.context.fleet.end_request(self.path.first.name)
         self.end_reading()
         self._leave_path()
 
@@ -89,7 +89,7 @@
     def avoid_engine(self, name: str, reason: str) -> None:
         """Lets this stream, and for a while all others, avoid an engine."""
         self.avoid.add(name)
-        for_ms = self.context.fleet.avoid(name, self.now_ms)
+        for_ms = self.context.fleet.eject(name, self.now_ms)
         self.context.log.write(
             "backend_server.avoided",
             backend_server=name,
@@ -116,10 +116,10 @@
         return max(1, caller.prompt_tokens + caller.answer_tokens // 2)
 
 
-def make_stream_state(context: Context, pending: Pending) -> StreamState:
+def make_stream_state(context: Context, pending: PendingRequest) -> StreamState:
     """Returns the state of a stream that has not run yet."""
-    times = Timeliness(pending.request.began_ms)
-    pending.timeliness = times
+    times = StreamLatency(pending.request.began_ms)
+    pending.stream_latency = times
     events = EventSequence(_whole(pending.caller.resume_after))
     return StreamState(context, pending, times, events)
 
--- a/caroblug/gateway/_rechecks.py
+++ b/caroblug/gateway/_suspect_probes.py
@@ -4,7 +4,7 @@
 
 from caroblug.gateway._context import Context
 from caroblug.gateway._interfaces import BackendServer, Unavailable
-from caroblug.gateway._spacing import Spacing
+from caroblug.gateway._throttle import Throttle
 
 _EVERY_S = 0.1
 _OLD_LIST_MS = 1800
@@ -15,7 +15,7 @@
 """Shortest time between two looks at an engine that did not fail here."""
 
 
-class Rechecks:
+class SuspectProbes:
     """Asks engines that failed for a report before they get work again.
 
     Guards against requests as probes: each request sent to an engine that is
@@ -28,7 +28,7 @@
 
     def __init__(self, context: Context) -> None:
         self._context = context
-        self._asked = Spacing(_ASK_AGAIN_MS)
+        self._asked = Throttle(_ASK_AGAIN_MS)
         self._asking: set[str] = set()
 
     def run(self) -> None:
@@ -36,10 +36,10 @@
         while True:
             gevent.sleep(_EVERY_S)
             now_ms = self._context.clock.now_ms()
-            for backend in self._context.fleet.failing(now_ms):
-                self.ask(backend)
-            names = set(self._context.ask_about)
-            self._context.ask_about.clear()
+            for backend in self._context.fleet.due_for_probe(now_ms):
+                self.probe(backend)
+            names = set(self._context.engines_to_probe)
+            self._context.engines_to_probe.clear()
             self._look_into(names, now_ms)
 
     def _look_into(self, names: set[str], now_ms: int) -> None:
@@ -50,9 +50,9 @@
             if backend is None or backend.holds is None:
                 continue
             if self._asked.allows(name, now_ms):
-                self.ask(backend)
+                self.probe(backend)
 
-    def ask(self, backend: BackendServer) -> None:
+    def probe(self, backend: BackendServer) -> None:
         """Asks one backend server, unless it is being asked."""
         if backend.name in self._asking:
             return
@@ -74,14 +74,16 @@
             context.log.write(
                 "backend_server.leaving",
                 backend_server=backend.name,
-                list_age_ms=context.fleet.age_ms(context.clock.now_ms()),
+                list_age_ms=context.fleet.listing_age_ms(
+                    context.clock.now_ms()
+                ),
             )
 
     def _ask(self, backend: BackendServer) -> None:
         context = self._context
         try:
             if backend.holds is None:
-                context.fleet.on_answer(
+                context.fleet.on_response(
                     backend.name, None, 0, context.clock.now_ms()
                 )
                 return
@@ -91,11 +93,11 @@
         now_ms = context.clock.now_ms()
         was_failing = context.fleet.failed_for_ms(backend.name, now_ms) > 0
         if isinstance(report, Unavailable):
-            context.fleet.avoid(backend.name, now_ms)
+            context.fleet.eject(backend.name, now_ms)
             return
-        context.fleet.on_answer(backend.name, None, 0, now_ms)
+        context.fleet.on_response(backend.name, None, 0, now_ms)
         context.fleet.on_report(backend.name, report.holds, now_ms)
-        if context.fleet.age_ms(now_ms) > _OLD_LIST_MS:
+        if context.fleet.listing_age_ms(now_ms) > _OLD_LIST_MS:
             self._ask_health(backend)
         if not was_failing:
             return
