--- a/caroblug/core/access/_configuration.py
+++ b/caroblug/core/access/_configuration.py
@@ -98,9 +98,10 @@
     Attributes:
         header_bytes: Maximum size of the request line and headers.
         body_bytes: Maximum size of the body.
-        header_ms: Maximum time to receive the headers.
-        idle_ms: Maximum time to receive the body, and maximum time that a
-            connection stays open between requests.
+        header_ms: Maximum time from the first byte of a request to the end of
+            its headers.
+        idle_ms: Maximum time from the first byte of a request to the end of
+            its body, and maximum time between requests on a connection.
     """
 
     header_bytes: int = 16384
--- a/caroblug/core/placement/_planner.py
+++ b/caroblug/core/placement/_planner.py
@@ -371,7 +371,7 @@
     requests: int,
     serving: ServingEngines,
 ) -> _Assignment | None:
-    """Chooses the adjoining engine with space for the most further layers.
+    """Chooses the adjoining engine with memory for the most further layers.
 
     The chosen engine no longer counts as serving, because it will load.
 
@@ -433,7 +433,14 @@
     width: int,
     model: ModelShape,
 ) -> int:
-    """Returns the first of the `width` layers that gain most by an engine."""
+    """Returns the first layer of the range that gains most from an engine.
+
+    Args:
+        assignments: Engines with the layers assigned so far.
+        assignment: The engine to assign.
+        width: Number of layers in the range.
+        model: The model.
+    """
     values = [
         _replica_value(assignments, assignment, layer, model)
         for layer in range(model.layers)
--- a/caroblug/core/placement/tests/fleets.py
+++ b/caroblug/core/placement/tests/fleets.py
@@ -28,7 +28,9 @@
 }
 """Number of big, middle and small engines by data centre.
 
-The 38 engines hold 4.2 times the layers of the model."""
+With KV cache reserved for 40 requests per chain, the 38 engines have memory for
+4.2 copies of the model.
+"""
 
 
 def make_engine(
