--- a/caroblug/core/state/__init__.py
+++ b/caroblug/core/state/__init__.py
@@ -23,6 +23,13 @@
     encode_batch,
 )
 from caroblug.core.state._checks import check_bundle_table
+from caroblug.core.state._dissemination import (
+    Advert,
+    BundleDissemination,
+    Fetch,
+    choose_log_readers,
+    choose_neighbours,
+)
 from caroblug.core.state._fold import (
     Applied,
     BundleFold,
@@ -35,12 +42,12 @@
     Rejected,
 )
 from caroblug.core.state._head import Head
-from caroblug.core.state._intents import IntentFold, KeyState
+from caroblug.core.state._intents import IntentFold, IntentState
 from caroblug.core.state._keys import (
     hash_key,
     key_matches,
     make_key,
-    split_key,
+    parse_account,
 )
 from caroblug.core.state._leases import (
     Held,
@@ -48,8 +55,8 @@
     LeaseFold,
     LeaseHolder,
     LeaseRecord,
-    Outdated,
-    WaitOut,
+    LeaseWait,
+    OutdatedBundle,
     decode_lease,
     encode_lease,
 )
@@ -90,13 +97,6 @@
     split_sections,
 )
 from caroblug.core.state._snapshots import SnapshotSchedule
-from caroblug.core.state._spread import (
-    Advert,
-    Fetch,
-    Spread,
-    choose_neighbours,
-    choose_readers,
-)
 
 __all__ = [
     "Admitted",
@@ -121,7 +121,7 @@
     "IntentOwner",
     "Joined",
     "Kept",
-    "KeyState",
+    "IntentState",
     "Lease",
     "LeaseFold",
     "LeaseHolder",
@@ -135,7 +135,7 @@
     "Missing",
     "ModelRule",
     "Objective",
-    "Outdated",
+    "OutdatedBundle",
     "Placement",
     "Outcome",
     "OutcomeKind",
@@ -147,15 +147,15 @@
     "Signature",
     "Snapshot",
     "SnapshotSchedule",
-    "Spread",
+    "BundleDissemination",
     "Started",
     "Unavailable",
     "Undecided",
     "Verdict",
-    "WaitOut",
+    "LeaseWait",
     "check_bundle_table",
     "choose_neighbours",
-    "choose_readers",
+    "choose_log_readers",
     "decode_batch",
     "decode_lease",
     "decode_record",
@@ -174,7 +174,7 @@
     "rank_members",
     "section_hash",
     "sign_record",
-    "split_key",
+    "parse_account",
     "split_sections",
     "verified_signers",
 ]
--- a/caroblug/core/state/_spread.py
+++ b/caroblug/core/state/_dissemination.py
@@ -67,7 +67,7 @@
     digest: str
 
 
-def choose_readers(view: MemberView, data_centre: str) -> list[Member]:
+def choose_log_readers(view: MemberView, data_centre: str) -> list[Member]:
     """Returns the members of a data centre that read the log."""
     members = view.live(data_centre=data_centre)
     return rank_members("log readers", members)[:READERS]
@@ -91,7 +91,7 @@
     return chosen + rank_members(own.instance, far)[:fewest]
 
 
-class Spread:
+class BundleDissemination:
     """Decides whom to fetch from and when to read the log.
 
     Args:
@@ -134,7 +134,7 @@
         return self._own_end
 
     @property
-    def pending(self) -> bool:
+    def newer_head_known(self) -> bool:
         """Whether a newer head is known than the one in force."""
         return any(a.is_newer_than(self._head) for a in self._adverts.values())
 
@@ -150,7 +150,7 @@
         the head: it must have read the log to its end and have heard a peer
         or listened for a while, and in an outage have heard several peers.
         """
-        if self._head.version == 0 or self.pending:
+        if self._head.version == 0 or self.newer_head_known:
             return False
         heard = sum(a.version > 0 for a in self._adverts.values())
         if self._own_end:
--- a/caroblug/core/state/_fold.py
+++ b/caroblug/core/state/_fold.py
@@ -128,7 +128,7 @@
         self._snapshot_keys = tuple(snapshot_keys)
         self._head: Head | None = None
         self._next = 0
-        self._certain = True
+        self._order_known = True
         self._gap = False
         self._candidates: list[_Candidate] = []
         self._pool: dict[str, bytes] = {}
@@ -146,9 +146,9 @@
         return self._next
 
     @property
-    def certain(self) -> bool:
+    def order_known(self) -> bool:
         """Whether every record that led to the head was seen in order."""
-        return self._certain
+        return self._order_known
 
     @property
     def missing(self) -> Missing | None:
@@ -196,7 +196,7 @@
             return refused
         if snapshot is None and not self._gap and self._is_child(candidate):
             return self._follow(candidate)
-        if snapshot is None and self._certain:
+        if snapshot is None and self._order_known:
             return self._lose(candidate)
         self._candidates.append(candidate)
         self._pool.update(candidate.record.sections)
@@ -223,7 +223,7 @@
         outcome = self._try(candidate, held)
         if not isinstance(outcome, Applied):
             return outcome
-        self._certain = False
+        self._order_known = False
         if offset >= self._next:
             self._next = offset + 1
             self._gap = False
@@ -256,7 +256,7 @@
         """
         if offset > self._next:
             self._gap = True
-            self._certain = False
+            self._order_known = False
             self._next = offset
 
     def _judge(self, candidate: _Candidate) -> Outcome | None:
@@ -266,7 +266,7 @@
         if head is not None:
             if record.digest == head.digest or record.version < head.version:
                 return Ignored()
-            later = self._certain or candidate.offset >= head.offset
+            later = self._order_known or candidate.offset >= head.offset
             if record.version == head.version and later:
                 return Lost(record.digest, head.version, head.digest)
         signers = verified_signers(record, self._operators)
@@ -280,7 +280,9 @@
     def _is_child(self, candidate: _Candidate) -> bool:
         record, head = candidate.record, self._head
         if head is None:
-            return self._certain and not record.parent and record.version == 1
+            return (
+                self._order_known and not record.parent and record.version == 1
+            )
         return record.parent == head.digest and (
             record.version == head.version + 1
         )
@@ -303,13 +305,13 @@
         record = candidate.record
         outcome = self._try(candidate, self._held() | record.sections)
         if isinstance(outcome, Missing):
-            if self._certain:
+            if self._order_known:
                 return Rejected("sections are missing", record.digest)
             self._candidates.append(candidate)
             self._pool.update(record.sections)
             return Deferred()
         if isinstance(outcome, Applied):
-            self._certain = True
+            self._order_known = True
             self._drop_older()
         return outcome
 
@@ -329,7 +331,7 @@
                 self._missing = outcome
                 return outcomes
             if isinstance(outcome, Applied):
-                self._certain = False
+                self._order_known = False
                 break
         self._candidates = []
         self._pool = {}
--- a/caroblug/core/state/_intents.py
+++ b/caroblug/core/state/_intents.py
@@ -19,7 +19,7 @@
 
 
 @attrs.define
-class KeyState:
+class IntentState:
     """What is remembered of a key.
 
     Attributes:
@@ -36,7 +36,7 @@
     offset: int
     outcome: OutcomeKind | None = None
     outcome_offset: int = -1
-    later: tuple["KeyState", ...] = ()
+    later: tuple["IntentState", ...] = ()
 
 
 @attrs.define
@@ -57,7 +57,7 @@
     def __init__(self) -> None:
         self._next_offset = 0
         self._horizon = 0
-        self._keys: dict[bytes, KeyState] = {}
+        self._keys: dict[bytes, IntentState] = {}
         self._writers: dict[str, _Writer] = {}
 
     def __len__(self) -> int:
@@ -73,7 +73,7 @@
         """What stands before this offset is forgotten."""
         return self._horizon
 
-    def lookup(self, key: bytes) -> KeyState | None:
+    def lookup(self, key: bytes) -> IntentState | None:
         """Returns what is remembered of a key."""
         return self._keys.get(key)
 
@@ -154,7 +154,7 @@
 
     def _on_intent(self, intent: Intent, offset: int) -> None:
         identity = IntentId(sys.intern(intent.id.writer), intent.id.number)
-        state = KeyState(identity, intent.request, offset)
+        state = IntentState(identity, intent.request, offset)
         first = self._keys.setdefault(intent.key, state)
         if first is not state:
             first.later = (*first.later, state)
@@ -170,8 +170,8 @@
 
     def _end(
         self,
-        first: KeyState,
-        state: KeyState,
+        first: IntentState,
+        state: IntentState,
         outcome: CallOutcome,
         offset: int,
     ) -> None:
--- a/caroblug/core/state/_keys.py
+++ b/caroblug/core/state/_keys.py
@@ -16,7 +16,7 @@
     return f"{client_account}{_SEPARATOR}{secret}"
 
 
-def split_key(key: str) -> str:
+def parse_account(key: str) -> str:
     """Returns the account that a key names; empty if it names none."""
     account, separator, _ = key.partition(_SEPARATOR)
     return account if separator else ""
--- a/caroblug/core/state/_leases.py
+++ b/caroblug/core/state/_leases.py
@@ -126,14 +126,14 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class WaitOut:
+class LeaseWait:
     """Another one's lease may be in force for this long."""
 
     ms: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Outdated:
+class OutdatedBundle:
     """The engine was ordered by a newer bundle than the own one."""
 
 
@@ -169,33 +169,33 @@
             self._seen = self._fold.lease
             self._seen_ms = now_ms
 
-    def next(
+    def next_step(
         self, now_ms: int, version: int
-    ) -> LeaseRecord | Held | WaitOut | Outdated:
+    ) -> LeaseRecord | Held | LeaseWait | OutdatedBundle:
         """Returns a record to append, the lease, or how long to wait.
 
         After a record has been appended, or may have been, the log must be
         read to its end before the next call.
         """
-        number = self.number(now_ms)
+        number = self.fencing_number(now_ms)
         if number is not None:
             return Held(number)
         lease = self._seen
         if lease is not None and version < lease.record.version:
-            return Outdated()
+            return OutdatedBundle()
         if lease is not None and not self._is_over(lease, now_ms):
-            return WaitOut(self._ends_ms(lease) - now_ms)
+            return LeaseWait(self._ends_ms(lease) - now_ms)
         after = -1 if lease is None else lease.number
         return self._make(now_ms, after, self._term_ms, version)
 
     def release(self, now_ms: int) -> LeaseRecord | None:
         """Returns the record that frees the lease; None if it isn't held."""
-        number = self.number(now_ms)
+        number = self.fencing_number(now_ms)
         if number is None:
             return None
         return self._make(now_ms, number, 0, self._seen.record.version)
 
-    def number(self, now_ms: int) -> int | None:
+    def fencing_number(self, now_ms: int) -> int | None:
         """Returns the number for an order sent right now, if it may be.
 
         Guards against a holder that was paused past its term and does not
--- a/caroblug/core/state/_membership.py
+++ b/caroblug/core/state/_membership.py
@@ -111,13 +111,13 @@
         self._said_leaving &= known
         self._lost_ms = {k: v for k, v in self._lost_ms.items() if k in known}
 
-    def on_heard(self, member: Member) -> None:
+    def on_connected(self, member: Member) -> None:
         """Learns of a connection with a member that has proved itself."""
         self._connected[member.instance] = member
         self._said_leaving.discard(member.instance)
         self._lost_ms.pop(member.instance, None)
 
-    def on_lost(self, instance: str, now_ms: int) -> None:
+    def on_disconnected(self, instance: str, now_ms: int) -> None:
         """Learns that the last connection with a member has ended."""
         self._connected.pop(instance, None)
         self._lost_ms[instance] = now_ms
--- a/caroblug/core/state/_owner.py
+++ b/caroblug/core/state/_owner.py
@@ -13,7 +13,7 @@
     IntentId,
     OutcomeKind,
 )
-from caroblug.core.state._intents import IntentFold, KeyState
+from caroblug.core.state._intents import IntentFold, IntentState
 
 _BATCH_ENTRIES = 256
 _BATCH_BODY_BYTES = 256 * 1024
@@ -61,7 +61,7 @@
 class Kept:
     """The call has run and its answer stands on the log."""
 
-    state: KeyState
+    state: IntentState
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -183,7 +183,7 @@
         request: bytes,
         within_ms: int,
         *,
-        log_up: bool = True,
+        log_available: bool = True,
     ) -> Admitted:
         """Decides about a call.
 
@@ -192,14 +192,14 @@
             key: Digest of account, service and idempotency key.
             request: Digest of the request.
             within_ms: The call is not made later than this from now.
-            log_up: Whether a new intent could be appended.
+            log_available: Whether a new intent could be appended.
         """
         live = self._live.get(key)
         if live is not None:
             return _admit_live(live, request)
         state = self._fold.lookup(key)
         if state is None or self._has_given_up(state):
-            if not log_up:
+            if not log_available:
                 return Unavailable()
             return self._start(now_ms, key, request, within_ms)
         if state.request != request:
@@ -297,7 +297,7 @@
         live.outcome = outcome
         self._queue.append(outcome)
 
-    def _has_given_up(self, state: KeyState) -> bool:
+    def _has_given_up(self, state: IntentState) -> bool:
         """Tells whether a remembered intent is an own, voided one."""
         return state.id.writer == self._writer and state.outcome is None
 
--- a/caroblug/core/state/_snapshots.py
+++ b/caroblug/core/state/_snapshots.py
@@ -38,7 +38,7 @@
         step_ms = self._period_ms / _STAGGER
         self._due_ms = now_ms + self._rng.uniform(step_ms / 2, step_ms)
 
-    def on_truncated(self, now_ms: int) -> None:
+    def on_snapshot_expired(self, now_ms: int) -> None:
         """Learns that the newest snapshot is no longer in the log."""
         step_ms = self._period_ms / _STAGGER
         self._due_ms = min(self._due_ms, now_ms + self._rng.uniform(0, step_ms))
--- a/caroblug/core/state/tests/test_spread.py
+++ b/caroblug/core/state/tests/test_dissemination.py
@@ -6,12 +6,12 @@
 
 from caroblug.core.state import (
     Advert,
+    BundleDissemination,
     Fetch,
     Member,
     MemberView,
-    Spread,
+    choose_log_readers,
     choose_neighbours,
-    choose_readers,
 )
 
 _NEW = Advert(2, "new", 7, 0)
@@ -26,15 +26,15 @@
     return MemberView(tuple(sorted(members, key=lambda m: m.instance)))
 
 
-def _spread(view=None):
-    """Returns the spread of an instance that is not a reader."""
+def _make_dissemination(view=None):
+    """Returns the dissemination of an instance that is not a reader."""
     view = view or _view(20)
-    readers = choose_readers(view, "a")
+    readers = choose_log_readers(view, "a")
     own = next(m for m in view.live(data_centre="a") if m not in readers)
-    spread = Spread(own, random.Random(1), 0)
-    spread.on_view(view)
-    spread.on_head(1, "old", 3)
-    return spread
+    dissemination = BundleDissemination(own, random.Random(1), 0)
+    dissemination.on_view(view)
+    dissemination.on_head(1, "old", 3)
+    return dissemination
 
 
 def test_another_peer_is_asked_when_the_first_is_lost_or_silent():
@@ -43,24 +43,24 @@
     The peer that told of the new head dies, or never answers; another one
     that told of it too is asked at once, or after the time-out.
     """
-    spread = _spread()
-    assert spread.on_advert("p1", _NEW, 0) == Fetch("p1", "new")
-    assert spread.on_advert("p2", _NEW, 1) is None
-    assert spread.on_peer_lost("p1", 2) == Fetch("p2", "new")
-    spread.on_advert("p3", _NEW, 3)
-    assert spread.on_tick(100) is None
-    assert spread.on_tick(600) == Fetch("p3", "new")
-    spread.on_head(2, "new", 7)
-    assert not spread.pending
+    dissemination = _make_dissemination()
+    assert dissemination.on_advert("p1", _NEW, 0) == Fetch("p1", "new")
+    assert dissemination.on_advert("p2", _NEW, 1) is None
+    assert dissemination.on_peer_lost("p1", 2) == Fetch("p2", "new")
+    dissemination.on_advert("p3", _NEW, 3)
+    assert dissemination.on_tick(100) is None
+    assert dissemination.on_tick(600) == Fetch("p3", "new")
+    dissemination.on_head(2, "new", 7)
+    assert not dissemination.newer_head_known
 
 
 def test_older_and_equal_heads_are_not_fetched():
-    spread = _spread()
-    assert spread.on_advert("p1", Advert(1, "old", 3), 0) is None
-    assert spread.on_advert("p1", Advert(0), 0) is None
-    assert spread.on_advert("p1", Advert(1, "rival", 9), 0) is None
-    assert not spread.pending
-    assert spread.on_advert("p1", Advert(1, "rival", 2), 0) is not None
+    dissemination = _make_dissemination()
+    assert dissemination.on_advert("p1", Advert(1, "old", 3), 0) is None
+    assert dissemination.on_advert("p1", Advert(0), 0) is None
+    assert dissemination.on_advert("p1", Advert(1, "rival", 9), 0) is None
+    assert not dissemination.newer_head_known
+    assert dissemination.on_advert("p1", Advert(1, "rival", 2), 0) is not None
 
 
 def test_non_reader_steps_in_only_when_the_log_was_not_seen_for_long():
@@ -69,16 +69,16 @@
     Views differ, or the readers cannot reach the log; what is told of its
     age grows, and others step in without storming it.
     """
-    spread = _spread()
-    assert spread.should_read(0)
-    spread.on_log_end(0)
-    assert not spread.should_read(10_000)
-    spread.on_advert("p1", Advert(1, "old", 3, 2000), 14_000)
-    assert not spread.should_read(20_000)
-    assert spread.should_read(40_000)
-    spread.on_log_failure(40_000)
-    assert not spread.should_read(41_000)
-    assert spread.should_read(200_000)
+    dissemination = _make_dissemination()
+    assert dissemination.should_read(0)
+    dissemination.on_log_end(0)
+    assert not dissemination.should_read(10_000)
+    dissemination.on_advert("p1", Advert(1, "old", 3, 2000), 14_000)
+    assert not dissemination.should_read(20_000)
+    assert dissemination.should_read(40_000)
+    dissemination.on_log_failure(40_000)
+    assert not dissemination.should_read(41_000)
+    assert dissemination.should_read(200_000)
 
 
 @pytest.mark.parametrize("count", [1, 2, 5, 110])
--- a/caroblug/core/state/tests/test_fold.py
+++ b/caroblug/core/state/tests/test_fold.py
@@ -164,7 +164,7 @@
     assert fold.head.digest == winner.digest
     _page(fold, 11, [encode_record(child)], 12)
     assert fold.head.digest == child.digest
-    assert fold.certain
+    assert fold.order_known
 
 
 def test_sections_of_an_expired_parent_come_from_peers():
--- a/caroblug/core/state/tests/test_fold_machine.py
+++ b/caroblug/core/state/tests/test_fold_machine.py
@@ -174,7 +174,7 @@
     @invariant()
     def certain_readers_are_on_the_chain(self):
         for fold in self._readers:
-            if fold.head is not None and fold.certain:
+            if fold.head is not None and fold.order_known:
                 truth = self._truth.head
                 assert fold.head.version <= truth.version
                 if fold.head.version == truth.version:
--- a/caroblug/core/state/tests/test_intents.py
+++ b/caroblug/core/state/tests/test_intents.py
@@ -115,17 +115,17 @@
         owner=st.integers(0, _OWNERS - 1),
         key=st.sampled_from(_KEYS),
         request=st.sampled_from(_REQUESTS),
-        log_up=st.booleans(),
+        log_available=st.booleans(),
     )
-    def send(self, owner, key, request, log_up):
+    def send(self, owner, key, request, log_available):
         at = self.owners[owner]
         before = at.core.waiting
         admitted = at.core.admit(
-            self.now_ms, key, request, _WITHIN_MS, log_up=log_up
+            self.now_ms, key, request, _WITHIN_MS, log_available=log_available
         )
         assert (at.core.waiting > before) == isinstance(admitted, Started)
         if isinstance(admitted, Unavailable):
-            assert not log_up
+            assert not log_available
 
     @stateful.rule(
         owner=st.integers(0, _OWNERS - 1),
--- a/caroblug/core/state/tests/test_leases.py
+++ b/caroblug/core/state/tests/test_leases.py
@@ -14,7 +14,7 @@
     LeaseFold,
     LeaseHolder,
     LeaseRecord,
-    Outdated,
+    OutdatedBundle,
     decode_lease,
     encode_lease,
 )
@@ -67,7 +67,7 @@
         at = self.sides[side]
         now_ms = at.clock(self.now_ms)
         record = at.holder.release(now_ms) if release else None
-        record = record or at.holder.next(now_ms, 1)
+        record = record or at.holder.next_step(now_ms, 1)
         if not isinstance(record, LeaseRecord):
             return
         data = encode_lease(record)
@@ -86,7 +86,7 @@
         records = []
         for side in sides[:2]:
             at = self.sides[side]
-            record = at.holder.next(at.clock(self.now_ms), 1)
+            record = at.holder.next_step(at.clock(self.now_ms), 1)
             if isinstance(record, LeaseRecord):
                 records.append(encode_lease(record))
         self.log.extend(records)
@@ -114,7 +114,7 @@
     def check(self, side):
         """The look at the clock; a pause may follow before the send."""
         at = self.sides[side]
-        held = at.holder.next(at.clock(self.now_ms), 1)
+        held = at.holder.next_step(at.clock(self.now_ms), 1)
         at.checked = held.number if isinstance(held, Held) else None
 
     @stateful.rule(side=st.integers(0, _SIDES - 1))
@@ -126,13 +126,15 @@
 
     @stateful.invariant()
     def one_may_order(self):
-        numbers = [at.holder.number(at.clock(self.now_ms)) for at in self.sides]
+        numbers = [
+            at.holder.fencing_number(at.clock(self.now_ms)) for at in self.sides
+        ]
         assert sum(n is not None for n in numbers) <= 1
 
     @stateful.invariant()
     def successor_is_not_fenced_out(self):
         for at in self.sides:
-            number = at.holder.number(at.clock(self.now_ms))
+            number = at.holder.fencing_number(at.clock(self.now_ms))
             if number is not None:
                 assert number >= self.highest
 
@@ -150,16 +152,16 @@
     """
     log = []
     paused, next_one = _Side("paused", 1.0), _Side("next", 1.0)
-    log.append(encode_lease(paused.holder.next(0, 1)))
+    log.append(encode_lease(paused.holder.next_step(0, 1)))
     paused.read(log, 1)
-    assert paused.holder.next(2, 1) == Held(0)
+    assert paused.holder.next_step(2, 1) == Held(0)
     next_one.read(log, 500)
-    assert paused.holder.number(_TERM_MS) is None
+    assert paused.holder.fencing_number(_TERM_MS) is None
     waited_ms = 500 + _TERM_MS * 11 // 10
-    log.append(encode_lease(next_one.holder.next(waited_ms, 1)))
+    log.append(encode_lease(next_one.holder.next_step(waited_ms, 1)))
     next_one.read(log, waited_ms)
-    assert next_one.holder.next(waited_ms, 1) == Held(1)
-    assert paused.holder.number(waited_ms) is None
+    assert next_one.holder.next_step(waited_ms, 1) == Held(1)
+    assert paused.holder.fencing_number(waited_ms) is None
 
 
 def test_holder_with_an_old_bundle_does_not_order():
@@ -170,12 +172,12 @@
     """
     log = []
     newer, old = _Side("newer", 1.0), _Side("old", 1.0)
-    log.append(encode_lease(newer.holder.next(0, 2)))
+    log.append(encode_lease(newer.holder.next_step(0, 2)))
     newer.read(log, 1)
     early = encode_lease(LeaseRecord(_ENGINE, "old", 1, 0, _TERM_MS, 1))
     log.append(early)
     log.append(encode_lease(newer.holder.release(2)))
     old.read(log, 3)
-    assert old.holder.next(9 * _TERM_MS, 1) == Outdated()
+    assert old.holder.next_step(9 * _TERM_MS, 1) == OutdatedBundle()
     assert old.fold.lease.record.holder == "newer"
-    assert isinstance(old.holder.next(9 * _TERM_MS, 2), LeaseRecord)
+    assert isinstance(old.holder.next_step(9 * _TERM_MS, 2), LeaseRecord)
--- a/caroblug/core/state/tests/test_membership.py
+++ b/caroblug/core/state/tests/test_membership.py
@@ -13,7 +13,7 @@
 
 def test_instance_that_the_list_misses_is_known_by_its_connection():
     membership = Membership(_member("own"))
-    membership.on_heard(_member("new"))
+    membership.on_connected(_member("new"))
     membership.on_listed([_member("own")], [])
     assert _names(membership) == ["new", "own"]
 
@@ -26,8 +26,8 @@
     """
     membership = Membership(_member("own"), retry_ms=10_000)
     membership.on_listed([_member("own"), _member("dead")], [])
-    membership.on_heard(_member("dead"))
-    membership.on_lost("dead", 1000)
+    membership.on_connected(_member("dead"))
+    membership.on_disconnected("dead", 1000)
     assert _names(membership, 2000) == ["own"]
     assert _names(membership, 11_000) == ["dead", "own"]
     membership.on_listed([_member("own")], [])
--- a/caroblug/core/state/tests/test_snapshots.py
+++ b/caroblug/core/state/tests/test_snapshots.py
@@ -46,7 +46,7 @@
 def test_snapshot_that_is_gone_is_replaced_at_once():
     schedule = _schedule()
     schedule.on_snapshot(0)
-    schedule.on_truncated(1000)
+    schedule.on_snapshot_expired(1000)
     assert schedule.is_due(1000 + _PERIOD_MS / 16, 0)
 
 
--- a/caroblug/entry/_accounts.py
+++ b/caroblug/entry/_accounts.py
@@ -1,6 +1,6 @@
 """Which client account a bearer key names."""
 
-from caroblug.core.state import Bundle, key_matches, split_key
+from caroblug.core.state import Bundle, key_matches, parse_account
 from caroblug.utils import RefusalType, Refused
 
 _BEARER = "Bearer "
@@ -19,7 +19,7 @@
             RefusalType.UNAUTHENTICATED, "a bearer key must be given"
         )
     key = authorization[len(_BEARER) :].strip()
-    account = split_key(key)
+    account = parse_account(key)
     rule = bundle.client_accounts.get(account)
     if rule is None:
         return _REFUSED
--- a/caroblug/node/_bundles.py
+++ b/caroblug/node/_bundles.py
@@ -8,6 +8,7 @@
 
 from caroblug.core.state import (
     Applied,
+    BundleDissemination,
     BundleFold,
     Fetch,
     Head,
@@ -15,7 +16,6 @@
     LogEntry,
     Lost,
     Rejected,
-    Spread,
 )
 from caroblug.gen.wire import ttypes as wire
 from caroblug.node._exchange import (
@@ -53,7 +53,7 @@
     Args:
         log: The log service.
         fold: The fold of the records.
-        spread: Decides whom to ask and when to read the log.
+        dissemination: Decides whom to ask and when to read the log.
         members: The view of the members.
         network: Connections with peers.
         clock: Source of time.
@@ -66,7 +66,7 @@
         self,
         log: LogService,
         fold: BundleFold,
-        spread: Spread,
+        dissemination: BundleDissemination,
         members: Members,
         network: PeerNetwork,
         clock: Clock,
@@ -76,7 +76,7 @@
     ) -> None:
         self._log = log
         self._fold = fold
-        self._spread = spread
+        self._dissemination = dissemination
         self._members = members
         self._network = network
         self._clock = clock
@@ -105,22 +105,22 @@
     @property
     def is_reader(self) -> bool:
         """Whether this instance is one of those that read the log."""
-        return self._spread.is_reader
+        return self._dissemination.is_reader
 
     @property
     def should_read(self) -> bool:
         """Whether it is for this instance to read the log now."""
-        return self._spread.should_read(self._clock.now_ms())
+        return self._dissemination.should_read(self._clock.now_ms())
 
     @property
     def at_log_end(self) -> bool:
         """Whether this instance has read the log to its end once."""
-        return self._spread.has_read_log
+        return self._dissemination.has_read_log
 
     @property
     def ready(self) -> bool:
         """Whether the head is known to be the newest within reach."""
-        return self._spread.is_ready(self._clock.now_ms())
+        return self._dissemination.is_ready(self._clock.now_ms())
 
     @property
     def in_force_ms(self) -> int:
@@ -133,9 +133,9 @@
         Waits a fifth of a second at most: an instance whose peers cannot
         give what they have told of goes on with what it has.
         """
-        if self._spread.pending:
+        if self._dissemination.newer_head_known:
             self._up_to_date.wait(_NEWEST_MS / _MS_PER_S)
-            if self._spread.pending:
+            if self._dissemination.newer_head_known:
                 self._metrics.count("bundle_waits_in_vain")
         return self.head
 
@@ -155,7 +155,9 @@
         now_ms = self._clock.now_ms()
         for advert in frame.bundle_adverts or ():
             self._ask(
-                self._spread.on_advert(peer.instance, from_wire(advert), now_ms)
+                self._dissemination.on_advert(
+                    peer.instance, from_wire(advert), now_ms
+                )
             )
         for fetch in frame.bundle_fetches or ():
             self._send(peer, self._server.answer(fetch))
@@ -167,30 +169,35 @@
         """Tells a new peer about the head."""
         self._peers[peer.instance] = peer
         self._members.on_peer_up(peer)
-        self._send(peer, to_wire(self._spread.advert(self._clock.now_ms())))
+        self._send(
+            peer, to_wire(self._dissemination.advert(self._clock.now_ms()))
+        )
 
     def on_peer_lost(self, peer: PeerAddress) -> None:
         """Turns to another peer."""
         self._peers.pop(peer.instance, None)
         self._members.on_peer_lost(peer)
         now_ms = self._clock.now_ms()
-        self._ask(self._spread.on_peer_lost(peer.instance, now_ms))
+        self._ask(self._dissemination.on_peer_lost(peer.instance, now_ms))
         self._note_pending()
 
     def _listen(self) -> None:
         """Lets peers speak first: their head saves reading the whole log."""
         self._members.wait_listed(_LISTEN_MS)
-        self._spread.on_view(self._members.view)
-        self._members.connect(list(self._spread.neighbours))
+        self._dissemination.on_view(self._members.view)
+        self._members.connect(list(self._dissemination.neighbours))
         end_ms = self._clock.now_ms() + _LISTEN_MS
-        while self._spread.neighbours and self._clock.now_ms() < end_ms:
-            if self.head is not None and not self._spread.pending:
+        while self._dissemination.neighbours and self._clock.now_ms() < end_ms:
+            if (
+                self.head is not None
+                and not self._dissemination.newer_head_known
+            ):
                 return
             gevent.sleep(_TICK_S)
 
     def read_log(self) -> bool:
         """Reads the log once; returns whether it gave an answer."""
-        wait_ms = _WAIT_MS if self._spread.is_reader else 0
+        wait_ms = _WAIT_MS if self._dissemination.is_reader else 0
         records = self._log.read(
             BUNDLE_STREAM, self._fold.next_offset, wait_ms=wait_ms
         )
@@ -198,14 +205,14 @@
         self._metrics.count("bundle_log_reads")
         if isinstance(records, LogUnavailable):
             self._metrics.count("log_failures", operation="read")
-            self._spread.on_log_failure(now_ms)
+            self._dissemination.on_log_failure(now_ms)
             return False
         entries = [LogEntry(r.offset, r.data) for r in records.records]
         outcomes = self._fold.on_page(
             entries, records.next_offset, records.end_offset
         )
         if records.next_offset >= records.end_offset:
-            self._spread.on_log_end(now_ms)
+            self._dissemination.on_log_end(now_ms)
         self._take(outcomes)
         return True
 
@@ -236,10 +243,10 @@
         self._since_ms = self._clock.now_ms()
         self._incoming = None
         self._server.on_head(head)
-        self._spread.on_head(head.version, head.digest, head.offset)
+        self._dissemination.on_head(head.version, head.digest, head.offset)
         self._metrics.gauge("bundle_version", head.version)
         log_state("bundle.applied", version=head.version, digest=head.digest)
-        advert = to_wire(self._spread.advert(self._since_ms))
+        advert = to_wire(self._dissemination.advert(self._since_ms))
         for peer in list(self._peers.values()):
             self._send(peer, advert)
         self._note_pending()
@@ -269,11 +276,13 @@
         if not incoming.take(message):
             self._metrics.count("bundle_fetches_failed")
             self._incoming = None
-            self._ask(self._spread.on_fetch_failed(peer.instance, now_ms))
+            self._ask(
+                self._dissemination.on_fetch_failed(peer.instance, now_ms)
+            )
             return
         lacking = incoming.lacking()
         if lacking:
-            self._spread.on_progress(peer.instance, now_ms)
+            self._dissemination.on_progress(peer.instance, now_ms)
             digest = incoming.record.digest
             self._send(peer, wire.BundleFetch(digest, "", lacking))
             return
@@ -284,7 +293,7 @@
         self._take([outcome])
         if isinstance(outcome, Applied | Ignored):
             return
-        self._ask(self._spread.on_fetch_failed(peer.instance, now_ms))
+        self._ask(self._dissemination.on_fetch_failed(peer.instance, now_ms))
 
     def _ask_missing(self) -> None:
         """Asks one more peer for sections that the log no longer holds."""
@@ -316,7 +325,7 @@
         self._network.send(peer, message)
 
     def _note_pending(self) -> None:
-        if self._spread.pending:
+        if self._dissemination.newer_head_known:
             self._up_to_date.clear()
         else:
             self._up_to_date.set()
@@ -330,18 +339,18 @@
         """Looks for late answers; now and then for members and neighbours."""
         self._ticks += 1
         now_ms = self._clock.now_ms()
-        self._ask(self._spread.on_tick(now_ms))
+        self._ask(self._dissemination.on_tick(now_ms))
         self._note_pending()
         if self._ticks % _VIEW_TICKS == 0:
-            self._spread.on_view(self._members.view)
-            self._members.connect(list(self._spread.neighbours))
+            self._dissemination.on_view(self._members.view)
+            self._members.connect(list(self._dissemination.neighbours))
         if self._ticks % _BEAT_TICKS == 0:
             self._beat(now_ms)
 
     def _beat(self, now_ms: int) -> None:
         """Tells neighbours how old this instance's sight of the log is."""
-        advert = to_wire(self._spread.advert(now_ms))
-        for member in self._spread.neighbours:
+        advert = to_wire(self._dissemination.advert(now_ms))
+        for member in self._dissemination.neighbours:
             if self._network.is_connected(member.instance):
                 self._send(address_of(member), advert)
         if self._fold.missing is not None:
--- a/caroblug/node/_fleet.py
+++ b/caroblug/node/_fleet.py
@@ -6,11 +6,11 @@
 import gevent
 
 from caroblug.core.state import (
+    BundleDissemination,
     BundleFold,
     Head,
     Member,
     Membership,
-    Spread,
 )
 from caroblug.gen.wire import ttypes as wire
 from caroblug.node._bundles import BundleFollower
@@ -140,7 +140,7 @@
     bundles = BundleFollower(
         log,
         BundleFold(settings.operators, settings.signatures, keys),
-        Spread(own, rng, clock.now_ms()),
+        BundleDissemination(own, rng, clock.now_ms()),
         members,
         network,
         clock,
--- a/caroblug/node/_members.py
+++ b/caroblug/node/_members.py
@@ -91,7 +91,7 @@
 
     def on_peer_up(self, peer: PeerAddress) -> None:
         """Learns of a connection with a peer that has proved itself."""
-        self._membership.on_heard(
+        self._membership.on_connected(
             Member(
                 peer.instance,
                 peer.role,
@@ -103,7 +103,7 @@
 
     def on_peer_lost(self, peer: PeerAddress) -> None:
         """Learns that a peer is gone."""
-        self._membership.on_lost(peer.instance, self._clock.now_ms())
+        self._membership.on_disconnected(peer.instance, self._clock.now_ms())
 
     def on_report(self, instance: str, *, leaving: bool) -> None:
         """Learns from a peer itself whether it is leaving."""
--- a/caroblug/node/_snapshots.py
+++ b/caroblug/node/_snapshots.py
@@ -9,7 +9,7 @@
     Head,
     Snapshot,
     SnapshotSchedule,
-    choose_readers,
+    choose_log_readers,
     encode_snapshot,
     rank_members,
 )
@@ -99,7 +99,7 @@
             return
         if not found.records or found.records[0].offset != self._seen:
             log_state("bundle.snapshot_gone", offset=self._seen)
-            self._schedule.on_truncated(self._clock.now_ms())
+            self._schedule.on_snapshot_expired(self._clock.now_ms())
 
     def _append(self, head: Head) -> None:
         record = attrs.evolve(head.record, sections=head.bodies())
@@ -117,7 +117,7 @@
         readers = [
             member
             for data_centre in view.data_centres()
-            for member in choose_readers(view, data_centre)
+            for member in choose_log_readers(view, data_centre)
         ]
         ranked = rank_members(f"snapshot {head.digest}", readers)
         names = [m.instance for m in ranked]
--- a/caroblug/node/tests/fakes.py
+++ b/caroblug/node/tests/fakes.py
@@ -7,10 +7,10 @@
 )
 
 from caroblug.core.state import (
+    BundleDissemination,
     BundleFold,
     Member,
     Membership,
-    Spread,
     encode_record,
     make_record,
     sign_record,
@@ -163,7 +163,7 @@
         self.nodes[name] = BundleFollower(
             _LogOfOne(self, name),
             BundleFold([OPERATOR], 1, [SNAPSHOT_KEY]),
-            Spread(own, rng, self.clock.now_ms()),
+            BundleDissemination(own, rng, self.clock.now_ms()),
             members,
             network,
             self.clock,
--- a/caroblug/side/_journal.py
+++ b/caroblug/side/_journal.py
@@ -15,7 +15,7 @@
     IntentFold,
     IntentId,
     IntentOwner,
-    KeyState,
+    IntentState,
     Started,
     Verdict,
     decode_batch,
@@ -114,7 +114,7 @@
         """Decides about a call; a new intent is queued."""
         now_ms = self._clock.now_ms()
         admitted = self._owner.admit(
-            now_ms, key, request, within_ms, log_up=self.ready
+            now_ms, key, request, within_ms, log_available=self.ready
         )
         if isinstance(admitted, Started):
             self._urgent.set()
@@ -147,11 +147,11 @@
         self._owner.finish(outcome)
         self._wake.set()
 
-    def lookup(self, key: bytes) -> KeyState | None:
+    def lookup(self, key: bytes) -> IntentState | None:
         """Returns what is remembered of a key."""
         return self._fold.lookup(key)
 
-    def answer(self, state: KeyState) -> CallOutcome | None:
+    def answer(self, state: IntentState) -> CallOutcome | None:
         """Returns a recorded answer, from the log if need be."""
         kept = self._answers.get(state.id)
         if kept is not None:
--- a/caroblug/side/_lease.py
+++ b/caroblug/side/_lease.py
@@ -44,7 +44,7 @@
     @property
     def number(self) -> int | None:
         """The number for an order sent right now, if it may be."""
-        return self._holder.number(self._clock.now_ms())
+        return self._holder.fencing_number(self._clock.now_ms())
 
     def refresh(self) -> bool:
         """Reads the log to its end; False while that is not possible."""
@@ -58,7 +58,7 @@
         """
         if not self._read():
             return False
-        step = self._holder.next(self._clock.now_ms(), version)
+        step = self._holder.next_step(self._clock.now_ms(), version)
         if isinstance(step, LeaseRecord):
             self._append(step)
         return self.number is not None
