--- a/caroblug/core/routing/__init__.py
+++ b/caroblug/core/routing/__init__.py
@@ -6,32 +6,32 @@
     RoundRobinChooser,
 )
 from caroblug.core.routing._chooser import ChainChooser, ShortestWaitChooser
+from caroblug.core.routing._chooser_factory import CHOOSERS, make_chooser
 from caroblug.core.routing._estimate import (
+    DeadlineMiss,
     LatencyTable,
-    TooLate,
     check_deadline,
 )
 from caroblug.core.routing._flow import (
     EngineGroup,
+    FlowNode,
     FlowPlan,
     Link,
-    Place,
     full_mesh,
     make_plan,
 )
 from caroblug.core.routing._flow_chooser import FlowChooser
-from caroblug.core.routing._make import CHOOSERS, make_chooser
 from caroblug.core.routing._prefix import (
     CacheEvent,
     PrefixIndex,
     prefix_hashes,
 )
-from caroblug.core.routing._report_rate import report_interval_ms
+from caroblug.core.routing._report_interval import report_interval_ms
 from caroblug.core.routing._search import covers_layers
 from caroblug.core.routing._subset import (
     Kind,
+    choose_instances_to_probe,
     choose_subset,
-    choose_unknown,
     rendezvous_rank,
 )
 from caroblug.core.routing._types import Chain, EngineView, Stage
@@ -51,16 +51,16 @@
     "LatencyTable",
     "LeastLoadedChooser",
     "Link",
-    "Place",
+    "FlowNode",
     "PrefixIndex",
     "RandomChooser",
     "RoundRobinChooser",
     "ShortestWaitChooser",
     "Stage",
-    "TooLate",
+    "DeadlineMiss",
     "check_deadline",
     "choose_subset",
-    "choose_unknown",
+    "choose_instances_to_probe",
     "full_mesh",
     "make_chooser",
     "make_plan",
--- a/caroblug/core/routing/_estimate.py
+++ b/caroblug/core/routing/_estimate.py
@@ -14,7 +14,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class TooLate:
+class DeadlineMiss:
     """A request that cannot be answered by its deadline.
 
     Attributes:
@@ -38,11 +38,11 @@
     default_ms: float = 1.0
     measured_ms: dict[tuple[str, str], float] = attrs.field(factory=dict)
 
-    def learn(self, one: str, other: str, ms: float) -> None:
-        """Learns the one-way latency between two data centres."""
+    def record(self, one: str, other: str, ms: float) -> None:
+        """Records the one-way latency between two data centres."""
         self.measured_ms[min(one, other), max(one, other)] = ms
 
-    def between(self, one: str, other: str) -> float:
+    def one_way_ms(self, one: str, other: str) -> float:
         """Returns the one-way latency in ms; 0 inside a data centre.
 
         A pair that was not measured is taken to be as slow as the slowest
@@ -73,7 +73,7 @@
     places = [engine.data_centre for engine in engines]
     ahead = [*places[1:], places[0]]
     return sum(
-        table.between(one, other)
+        table.one_way_ms(one, other)
         for one, other in zip(places, ahead, strict=True)
     )
 
@@ -95,7 +95,7 @@
     prompt_length: int,
     max_tokens: int,
     deadline_ms: float,
-) -> TooLate | None:
+) -> DeadlineMiss | None:
     """Returns why a request can't be in time, or None if it may be.
 
     The estimate is a lower bound: only the slowest stage's queue counts, as
@@ -119,4 +119,4 @@
         return None
     late_ms = int(expected_ms - deadline_ms)
     retry_ms = min(max(late_ms, _LEAST_RETRY_MS), _MOST_RETRY_MS)
-    return TooLate(expected_ms, retry_ms)
+    return DeadlineMiss(expected_ms, retry_ms)
--- a/caroblug/core/routing/_flow.py
+++ b/caroblug/core/routing/_flow.py
@@ -40,7 +40,7 @@
 
 
 @attrs.frozen(cache_hash=True)
-class Place:
+class FlowNode:
     """A place in a token's way: layers below `layer` have run."""
 
     layer: int
@@ -77,8 +77,8 @@
 
     tokens_per_s: float
     starts: Mapping[str, float]
-    groups: Mapping[Place, Mapping[EngineGroup, float]]
-    links: Mapping[Place, Mapping[str, float]]
+    groups: Mapping[FlowNode, Mapping[EngineGroup, float]]
+    links: Mapping[FlowNode, Mapping[str, float]]
 
 
 def group_of(engine: EngineView) -> EngineGroup:
@@ -146,18 +146,18 @@
     boundaries = {0} | {group.end_layer for group in capacities}
     data_centres = {group.data_centre for group in capacities}
     for data_centre in data_centres:
-        graph.add_edge(_SOURCE, Place(0, data_centre))
-        graph.add_edge(Place(layers, data_centre), _SINK)
+        graph.add_edge(_SOURCE, FlowNode(0, data_centre))
+        graph.add_edge(FlowNode(layers, data_centre), _SINK)
     for group, tokens_per_s in sorted(
         capacities.items(), key=lambda item: attrs.astuple(item[0])
     ):
         exit_node = ("exit", group)
         capacity = int(tokens_per_s * _UNITS_PER_TOKEN)
         graph.add_edge(group, exit_node, capacity=capacity)
-        graph.add_edge(exit_node, Place(group.end_layer, group.data_centre))
+        graph.add_edge(exit_node, FlowNode(group.end_layer, group.data_centre))
         for layer in sorted(boundaries):
             if group.first_layer <= layer < group.end_layer:
-                graph.add_edge(Place(layer, group.data_centre), group)
+                graph.add_edge(FlowNode(layer, group.data_centre), group)
     for link in links:
         if {link.source, link.target} <= data_centres:
             _add_link(graph, link, sorted(boundaries - {0, layers}))
@@ -171,28 +171,28 @@
         bound["capacity"] = int(link.tokens_per_s * _UNITS_PER_TOKEN)
     for layer in boundaries:
         graph.add_edge(
-            Place(layer, link.source),
-            Place(layer, link.target),
+            FlowNode(layer, link.source),
+            FlowNode(layer, link.target),
             weight=cost,
             **bound,
         )
 
 
 def _read_flow(flow: Mapping) -> FlowPlan:
-    groups: dict[Place, dict[EngineGroup, float]] = {}
-    links: dict[Place, dict[str, float]] = {}
+    groups: dict[FlowNode, dict[EngineGroup, float]] = {}
+    links: dict[FlowNode, dict[str, float]] = {}
     starts = {
         place.data_centre: units / _UNITS_PER_TOKEN
         for place, units in flow[_SOURCE].items()
         if units
     }
     for node, targets in flow.items():
-        if not isinstance(node, Place):
+        if not isinstance(node, FlowNode):
             continue
         for target, units in targets.items():
             weight = units / _UNITS_PER_TOKEN
             if units and isinstance(target, EngineGroup):
                 groups.setdefault(node, {})[target] = weight
-            elif units and isinstance(target, Place):
+            elif units and isinstance(target, FlowNode):
                 links.setdefault(node, {})[target.data_centre] = weight
     return FlowPlan(sum(starts.values()), starts, groups, links)
--- a/caroblug/core/routing/_flow_chooser.py
+++ b/caroblug/core/routing/_flow_chooser.py
@@ -22,9 +22,9 @@
 )
 from caroblug.core.routing._flow import (
     EngineGroup,
+    FlowNode,
     FlowPlan,
     Link,
-    Place,
     group_of,
     make_plan,
 )
@@ -143,7 +143,7 @@
 
     def _links(self, data_centres: Collection[str]) -> list[Link]:
         return [
-            Link(one, other, self.latencies.between(one, other))
+            Link(one, other, self.latencies.one_way_ms(one, other))
             for one in sorted(data_centres)
             for other in sorted(data_centres)
             if one != other
@@ -171,20 +171,20 @@
         self, plan: FlowPlan, members: _Members, layers: int, pick: _Pick
     ) -> list[EngineView] | None:
         """Walks from layer 0 to the end, each turn weighted by its flow."""
-        place = Place(0, self._weighted(plan.starts))
+        place = FlowNode(0, self._weighted(plan.starts))
         engines: list[EngineView] = []
         while place.layer < layers:
             groups = plan.groups.get(place, {})
             links = plan.links.get(place, {})
             turn = self._weighted({**groups, **links})
             if isinstance(turn, str):
-                place = Place(place.layer, turn)
+                place = FlowNode(place.layer, turn)
                 continue
             candidates = members.get(turn)
             if not candidates:
                 return None
             engines.append(pick(candidates))
-            place = Place(turn.end_layer, turn.data_centre)
+            place = FlowNode(turn.end_layer, turn.data_centre)
         return engines
 
     def _weighted(self, weights: Mapping[_T, float]) -> _T:
--- a/caroblug/core/routing/_prefix.py
+++ b/caroblug/core/routing/_prefix.py
@@ -80,7 +80,7 @@
         for block in event.removed:
             cache.blocks.pop(block, None)
 
-    def forget(self, instance: str) -> None:
+    def remove_instance(self, instance: str) -> None:
         """Drops what is known of an instance that is gone."""
         self._caches.pop(instance, None)
 
--- a/caroblug/core/routing/_report_rate.py
+++ b/caroblug/core/routing/_report_interval.py
@@ -6,7 +6,7 @@
 
 
 def report_interval_ms(
-    entries: int, report_bytes: int, least_ms: int, bytes_per_s: int
+    entries: int, report_bytes: int, min_interval_ms: int, bytes_per_s: int
 ) -> int:
     """Returns the time between two reports to the same entry.
 
@@ -17,8 +17,8 @@
     Args:
         entries: Entries connected.
         report_bytes: Size of one report.
-        least_ms: Time between reports where the budget allows it.
+        min_interval_ms: Time between reports where the budget allows it.
         bytes_per_s: The budget.
     """
     wanted_ms = math.ceil(entries * report_bytes * _MS_PER_S / bytes_per_s)
-    return max(least_ms, wanted_ms)
+    return max(min_interval_ms, wanted_ms)
--- a/caroblug/core/routing/_subset.py
+++ b/caroblug/core/routing/_subset.py
@@ -64,7 +64,7 @@
     return frozenset(chosen)
 
 
-def choose_unknown(
+def choose_instances_to_probe(
     owner: str, unknown: Iterable[str], count: int
 ) -> frozenset[str]:
     """Returns the instances to ask next what they serve."""
--- a/caroblug/core/routing/_types.py
+++ b/caroblug/core/routing/_types.py
@@ -64,7 +64,7 @@
         own_streams: Streams that this entry has open there.
         streams: Streams open there, from every entry, as last reported.
         backlog: Positions waiting or running there, as last reported.
-        own_at_report: This entry's own streams when the report came.
+        own_streams_at_report: This entry's own streams when the report came.
     """
 
     instance: str
@@ -81,7 +81,7 @@
     own_streams: int = 0
     streams: int = 0
     backlog: int = 0
-    own_at_report: int = 0
+    own_streams_at_report: int = 0
 
     @property
     def load(self) -> int:
@@ -104,4 +104,4 @@
 
     @property
     def _since_report(self) -> int:
-        return self.own_streams - self.own_at_report
+        return self.own_streams - self.own_streams_at_report
--- a/caroblug/core/routing/tests/test_choosers.py
+++ b/caroblug/core/routing/tests/test_choosers.py
@@ -133,7 +133,7 @@
     for _ in range(50):
         chooser.choose(views, LAYERS, "a", ("a0",))
         views[1].own_streams += 1
-        chooser.latencies.learn("a", "b", 1.0)
+        chooser.latencies.record("a", "b", 1.0)
     assert len(calls) <= 4
     before = len(calls)
     views[3].leaving = True
@@ -143,8 +143,8 @@
 
 def test_degraded_link_is_avoided():
     chooser = FlowChooser(random.Random(5))
-    chooser.latencies.learn("a", "b", 80.0)
-    chooser.latencies.learn("a", "c", 1.0)
+    chooser.latencies.record("a", "b", 80.0)
+    chooser.latencies.record("a", "c", 1.0)
     views = [
         make_view("a0", "a", 0, 6, 100.0),
         make_view("b1", "b", 6, 12, 100.0),
@@ -203,7 +203,7 @@
 
 def test_load_is_the_report_put_right_by_own_streams():
     view = make_view("e", "a", 0, 12, 100.0)
-    view.streams, view.own_streams, view.own_at_report = 30, 12, 10
+    view.streams, view.own_streams, view.own_streams_at_report = 30, 12, 10
     assert view.load == 32
     view.backlog = 7
     assert view.queue == 9
--- a/caroblug/entry/_links.py
+++ b/caroblug/entry/_links.py
@@ -56,6 +56,6 @@
             peer.data_centre, collections.deque(maxlen=_KEPT)
         )
         kept.append(self._clock.now_ms() - probe.sent_ms)
-        self._latencies.learn(
+        self._latencies.record(
             self._data_centre, peer.data_centre, min(kept) / 2
         )
--- a/caroblug/entry/_subset.py
+++ b/caroblug/entry/_subset.py
@@ -3,7 +3,7 @@
 import collections
 from collections.abc import Collection
 
-from caroblug.core.routing import Kind, choose_subset, choose_unknown
+from caroblug.core.routing import Kind, choose_instances_to_probe, choose_subset
 from caroblug.gen.wire import ttypes as wire
 
 _ASKED_AT_ONCE = 32
@@ -57,6 +57,6 @@
         unknown = [i for i in listed if i not in self._kinds]
         fewest = min((self._asked[i] for i in unknown), default=0)
         turn = [i for i in unknown if self._asked[i] == fewest]
-        asked = choose_unknown(self.owner, turn, _ASKED_AT_ONCE)
+        asked = choose_instances_to_probe(self.owner, turn, _ASKED_AT_ONCE)
         self._asked.update(asked)
         return choose_subset(self.owner, self._kinds, self.size) | asked
