--- a/benchmarks/log_outage.py
+++ b/benchmarks/log_outage.py
@@ -22,7 +22,7 @@
 
 from benchmarks._result import Result, print_result
 from caroblug.node import BUNDLE_STREAM
-from caroblug.transport._http import HttpAnswer
+from caroblug.transport._http import HttpResponse
 from standins import demo
 from standins.site import MODEL, Site, make_site
 
@@ -88,7 +88,7 @@
     return answer.status < 400
 
 
-def _call_booking(site: Site, kind: str) -> HttpAnswer:
+def _call_booking(site: Site, kind: str) -> HttpResponse:
     path = "/services/booking/seats"
     if kind == "repeatable":
         return site.call("entry-a", "school-1", "GET", path)
--- a/benchmarks/once.py
+++ b/benchmarks/once.py
@@ -26,7 +26,7 @@
     digest_parts,
     encode_batch,
 )
-from caroblug.transport._http import HttpAnswer, JsonHttp
+from caroblug.transport._http import HttpResponse, JsonHttpClient
 from standins.site import HOST, EntrySpec, PlainSpec, Site, make_site
 
 _RUNS = 3
@@ -89,7 +89,7 @@
 
     def _loop(self, entry: str) -> None:
         port = self._site.processes[entry].http_port
-        client = JsonHttp(HOST, port, _TIMEOUT_MS, connections=1)
+        client = JsonHttpClient(HOST, port, _TIMEOUT_MS, connections=1)
         bearer = {"Authorization": f"Bearer {self._site.keys[_ACCOUNT]}"}
         while not self._stopped:
             headers = dict(bearer)
@@ -101,7 +101,7 @@
                 "POST", "/services/booking/seats", _BODY, headers
             )
             took_ms = (time.monotonic() - start) * 1000
-            if isinstance(answer, HttpAnswer) and answer.status == _CREATED:
+            if isinstance(answer, HttpResponse) and answer.status == _CREATED:
                 tally.took_ms.append(took_ms)
             else:
                 tally.refused += 1
--- a/caroblug/bundle/_fleet.py
+++ b/caroblug/bundle/_fleet.py
@@ -13,7 +13,7 @@
     InstanceRecord,
     InstancesUnavailable,
 )
-from caroblug.transport._http import HttpAnswer, JsonHttp
+from caroblug.transport._http import HttpResponse, JsonHttpClient
 from caroblug.utils import Clock
 
 _TIMEOUT_MS = 1000
@@ -47,10 +47,10 @@
     """Asks one instance for its status."""
     if not record.http_port:
         return InstanceStatus(record, answered=False)
-    client = JsonHttp(record.host, record.http_port, _TIMEOUT_MS, 1)
+    client = JsonHttpClient(record.host, record.http_port, _TIMEOUT_MS, 1)
     try:
         answer = client.request("GET", "/status")
-        if not isinstance(answer, HttpAnswer):
+        if not isinstance(answer, HttpResponse):
             return InstanceStatus(record, answered=False)
         body = answer.json()
         return InstanceStatus(
--- a/caroblug/report/_commands.py
+++ b/caroblug/report/_commands.py
@@ -19,7 +19,7 @@
     save_snapshot,
 )
 from caroblug.report._text import to_json, to_text
-from caroblug.transport import HttpAnswer, JsonHttp
+from caroblug.transport import HttpResponse, JsonHttpClient
 from caroblug.utils import SettingsRejected
 
 EXIT_OK = 0
@@ -49,10 +49,10 @@
         host, _, port = address.rpartition(":")
         if not host or not port.isdigit():
             return _Failed(f"{address} must be HOST:PORT")
-        answer = JsonHttp(host, int(port), _TIMEOUT_MS).request(
+        answer = JsonHttpClient(host, int(port), _TIMEOUT_MS).request(
             "GET", "/metrics"
         )
-        if isinstance(answer, HttpAnswer) and answer.status == _OK:
+        if isinstance(answer, HttpResponse) and answer.status == _OK:
             texts[address] = answer.body.decode()
         else:
             print(f"{address}: gave no metrics", file=sys.stderr)
--- a/caroblug/side/_plain.py
+++ b/caroblug/side/_plain.py
@@ -10,9 +10,9 @@
 from caroblug.gen.wire import ttypes as wire
 from caroblug.transport import PeerAddress, PeerNetwork
 from caroblug.transport._http import (
-    HttpAnswer,
-    HttpFailed,
-    JsonHttp,
+    HttpFailure,
+    HttpResponse,
+    JsonHttpClient,
     request_once,
 )
 from caroblug.utils import Metrics, Ran, RefusalType
@@ -58,7 +58,7 @@
         self._host = host
         self._port = port
         self._timeout_ms = timeout_ms
-        self._client = JsonHttp(host, port, timeout_ms, connections=64)
+        self._client = JsonHttpClient(host, port, timeout_ms, connections=64)
 
     def call(self, call: wire.PlainCall) -> wire.PlainReply:
         """Runs a call and returns its answer or refusal."""
@@ -99,9 +99,9 @@
 
 
 def _make_reply(
-    call: wire.PlainCall, answer: HttpAnswer | HttpFailed
+    call: wire.PlainCall, answer: HttpResponse | HttpFailure
 ) -> wire.PlainReply:
-    if isinstance(answer, HttpFailed):
+    if isinstance(answer, HttpFailure):
         ran = Ran.UNKNOWN if answer.sent else Ran.NO
         return refuse_call(
             call, RefusalType.BACKEND_FAILED, answer.message, ran
--- a/caroblug/transport/__init__.py
+++ b/caroblug/transport/__init__.py
@@ -11,7 +11,7 @@
 )
 from caroblug.transport._framing import FrameError, Sealer
 from caroblug.transport._handler import PeerHandler
-from caroblug.transport._http import HttpAnswer, HttpFailed, JsonHttp
+from caroblug.transport._http import HttpFailure, HttpResponse, JsonHttpClient
 from caroblug.transport._instances import (
     HttpInstanceList,
     InstanceList,
@@ -62,15 +62,15 @@
     "EngineOrders",
     "EngineResult",
     "FrameError",
-    "HttpAnswer",
+    "HttpResponse",
     "HttpEngineClient",
-    "HttpFailed",
+    "HttpFailure",
     "HttpInstanceList",
     "HttpLogService",
     "InstanceList",
     "InstanceRecord",
     "InstancesUnavailable",
-    "JsonHttp",
+    "JsonHttpClient",
     "LogRecord",
     "LogService",
     "LogUnavailable",
--- a/caroblug/transport/_engine.py
+++ b/caroblug/transport/_engine.py
@@ -7,7 +7,7 @@
 
 import attrs
 
-from caroblug.transport._http import HttpFailed, JsonHttp
+from caroblug.transport._http import HttpFailure, JsonHttpClient
 
 _OK = 200
 _CONNECTIONS = 32
@@ -117,12 +117,12 @@
     """An engine over HTTP and JSON."""
 
     def __init__(self, host: str, port: int, timeout_ms: int) -> None:
-        self._client = JsonHttp(host, port, timeout_ms, _CONNECTIONS)
+        self._client = JsonHttpClient(host, port, timeout_ms, _CONNECTIONS)
 
     def describe(self) -> EngineDescription | EngineFailed:
         """Returns what the engine says of itself."""
         answer = self._client.request("GET", "/v1/engine")
-        if isinstance(answer, HttpFailed):
+        if isinstance(answer, HttpFailure):
             return EngineFailed(answer.message, not answer.timed_out)
         try:
             body = answer.json()
@@ -144,7 +144,7 @@
             "ended": list(ended),
         }
         answer = self._client.request("POST", "/v1/run", body)
-        if isinstance(answer, HttpFailed):
+        if isinstance(answer, HttpFailure):
             crashed = answer.sent and not answer.timed_out
             return EngineFailed(answer.message, crashed)
         if answer.status != _OK:
--- a/caroblug/transport/_http.py
+++ b/caroblug/transport/_http.py
@@ -14,7 +14,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class HttpFailed:
+class HttpFailure:
     """A call without an answer.
 
     Attributes:
@@ -29,7 +29,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class HttpAnswer:
+class HttpResponse:
     """An answer.
 
     Attributes:
@@ -47,7 +47,7 @@
         return orjson.loads(self.body)
 
 
-class JsonHttp:
+class JsonHttpClient:
     """A keep-alive HTTP client for one address.
 
     Args:
@@ -74,7 +74,7 @@
         path: str,
         body: Any = None,
         headers: dict[str, str] | None = None,
-    ) -> HttpAnswer | HttpFailed:
+    ) -> HttpResponse | HttpFailure:
         """Makes one call; a dictionary or list is sent as JSON."""
         data = body if isinstance(body, bytes) else b""
         sent_headers = dict(headers or {})
@@ -87,11 +87,11 @@
             )
             content = bytes(response.read())
             fields = tuple((str(k), str(v)) for k, v in response.items())
-            return HttpAnswer(response.status_code, content, fields)
+            return HttpResponse(response.status_code, content, fields)
         except ConnectionRefusedError as error:
-            return HttpFailed(str(error), sent=False)
+            return HttpFailure(str(error), sent=False)
         except (OSError, HTTPParseError, ValueError) as error:
-            return HttpFailed(
+            return HttpFailure(
                 _describe(error),
                 sent=True,
                 timed_out=isinstance(error, TimeoutError),
@@ -111,10 +111,10 @@
     body: bytes,
     headers: dict[str, str],
     may_send: Callable[[], bool],
-) -> HttpAnswer | HttpFailed:
+) -> HttpResponse | HttpFailure:
     """Makes one call over a connection of its own; sends it once at most.
 
-    Guards against a hidden resend: `JsonHttp` sends a PUT or DELETE again by
+    Guards against a hidden resend: `JsonHttpClient` sends a PUT or DELETE again by
     itself when a kept connection breaks, so that a service that has run it
     runs it twice. A new connection is never a broken kept one, and http.client
     sends nothing again.
@@ -135,18 +135,18 @@
         connection.connect()
     except _HttpErrors as error:
         connection.close()
-        return HttpFailed(_describe(error), sent=False)
+        return HttpFailure(_describe(error), sent=False)
     try:
         if not may_send():
-            return HttpFailed("the time to call has passed", sent=False)
+            return HttpFailure("the time to call has passed", sent=False)
         connection.request(method, path, body, headers)
         response = connection.getresponse()
         content = response.read()
-        return HttpAnswer(
+        return HttpResponse(
             response.status, content, tuple(response.getheaders())
         )
     except _HttpErrors as error:
-        return HttpFailed(_describe(error), sent=True)
+        return HttpFailure(_describe(error), sent=True)
     finally:
         connection.close()
 
--- a/caroblug/transport/_instances.py
+++ b/caroblug/transport/_instances.py
@@ -5,7 +5,7 @@
 
 import attrs
 
-from caroblug.transport._http import HttpFailed, JsonHttp
+from caroblug.transport._http import HttpFailure, JsonHttpClient
 
 _OK = 200
 _LEAVING = "leaving"
@@ -57,12 +57,12 @@
     """The instance list over HTTP and JSON."""
 
     def __init__(self, host: str, port: int, timeout_ms: int) -> None:
-        self._client = JsonHttp(host, port, timeout_ms, connections=1)
+        self._client = JsonHttpClient(host, port, timeout_ms, connections=1)
 
     def fetch(self) -> tuple[InstanceRecord, ...] | InstancesUnavailable:
         """Returns every listed instance."""
         answer = self._client.request("GET", "/instances")
-        if isinstance(answer, HttpFailed):
+        if isinstance(answer, HttpFailure):
             return InstancesUnavailable(answer.message)
         if answer.status != _OK:
             return InstancesUnavailable(f"status {answer.status}")
@@ -86,7 +86,7 @@
         """Lists an instance as leaving."""
         body = {"instance": instance, "state": _LEAVING}
         answer = self._client.request("POST", "/instances", body)
-        if isinstance(answer, HttpFailed):
+        if isinstance(answer, HttpFailure):
             return InstancesUnavailable(answer.message)
         if answer.status != _OK:
             return InstancesUnavailable(f"status {answer.status}")
--- a/caroblug/transport/_log.py
+++ b/caroblug/transport/_log.py
@@ -7,7 +7,7 @@
 import attrs
 import orjson
 
-from caroblug.transport._http import HttpFailed, JsonHttp
+from caroblug.transport._http import HttpFailure, JsonHttpClient
 
 _CREATED = 201
 _OK = 200
@@ -84,14 +84,14 @@
     """
 
     def __init__(self, host: str, port: int, timeout_ms: int) -> None:
-        self._short = JsonHttp(host, port, timeout_ms)
-        self._waiting = JsonHttp(host, port, timeout_ms + _READ_SLACK_MS)
+        self._short = JsonHttpClient(host, port, timeout_ms)
+        self._waiting = JsonHttpClient(host, port, timeout_ms + _READ_SLACK_MS)
 
     def append(self, stream: str, data: bytes) -> Appended | LogUnavailable:
         """Appends one record."""
         body = {"data": base64.b64encode(data).decode()}
         answer = self._short.request("POST", f"/streams/{stream}", body)
-        if isinstance(answer, HttpFailed):
+        if isinstance(answer, HttpFailure):
             return LogUnavailable(answer.message, maybe_written=answer.sent)
         if answer.status != _CREATED:
             return LogUnavailable(f"status {answer.status}")
@@ -104,7 +104,7 @@
         client = self._waiting if wait_ms else self._short
         path = f"/streams/{stream}?offset={offset}&limit={limit}"
         answer = client.request("GET", f"{path}&wait_ms={wait_ms}")
-        if isinstance(answer, HttpFailed):
+        if isinstance(answer, HttpFailure):
             return LogUnavailable(answer.message)
         if answer.status != _OK:
             return LogUnavailable(f"status {answer.status}")
--- a/caroblug/transport/_orders.py
+++ b/caroblug/transport/_orders.py
@@ -6,7 +6,7 @@
 import attrs
 
 from caroblug.core.state import Placement
-from caroblug.transport._http import HttpFailed, JsonHttp
+from caroblug.transport._http import HttpFailure, JsonHttpClient
 
 _OK = 200
 _CONFLICT = 409
@@ -57,12 +57,12 @@
     """Orders over HTTP and JSON."""
 
     def __init__(self, host: str, port: int, timeout_ms: int) -> None:
-        self._client = JsonHttp(host, port, timeout_ms, connections=1)
+        self._client = JsonHttpClient(host, port, timeout_ms, connections=1)
 
     def state(self) -> Placement | OrderFailed:
         """Returns what the engine has loaded."""
         answer = self._client.request("GET", "/v1/engine")
-        if isinstance(answer, HttpFailed):
+        if isinstance(answer, HttpFailure):
             return OrderFailed(answer.message)
         try:
             body = answer.json()
@@ -77,7 +77,7 @@
         """Orders a whole state."""
         body = attrs.asdict(placement) | {"number": number, "ticket": ticket}
         answer = self._client.request("POST", "/v1/orders", body)
-        if isinstance(answer, HttpFailed):
+        if isinstance(answer, HttpFailure):
             return OrderFailed(answer.message)
         if answer.status == _CONFLICT:
             return OrderFenced()
--- a/caroblug/transport/_weights.py
+++ b/caroblug/transport/_weights.py
@@ -4,7 +4,7 @@
 import dataclasses
 import math
 
-from caroblug.transport._http import HttpAnswer, HttpFailed, JsonHttp
+from caroblug.transport._http import HttpFailure, HttpResponse, JsonHttpClient
 
 _CREATED = 201
 _TOO_MANY = 429
@@ -60,13 +60,13 @@
     """The weight store over HTTP and JSON."""
 
     def __init__(self, host: str, port: int, timeout_ms: int) -> None:
-        self._client = JsonHttp(host, port, timeout_ms, connections=1)
+        self._client = JsonHttpClient(host, port, timeout_ms, connections=1)
 
     def reserve(self, model: str, version: str, adapter: str) -> Reservation:
         """Asks for leave to load weights."""
         body = {"model": model, "version": version, "adapter": adapter}
         answer = self._client.request("POST", "/v1/loads", body)
-        if isinstance(answer, HttpFailed):
+        if isinstance(answer, HttpFailure):
             return WeightsUnavailable(answer.message)
         if answer.status == _TOO_MANY:
             return WeightsBusy(_retry_after_ms(answer))
@@ -78,7 +78,7 @@
             return WeightsUnavailable("answer does not parse")
 
 
-def _retry_after_ms(answer: HttpAnswer) -> int:
+def _retry_after_ms(answer: HttpResponse) -> int:
     seconds = _DEFAULT_RETRY_S
     for name, value in answer.headers:
         if name.lower() == "retry-after":
--- a/caroblug/transport/tests/test_http.py
+++ b/caroblug/transport/tests/test_http.py
@@ -4,7 +4,7 @@
 import pytest
 from gevent import server
 
-from caroblug.transport._http import HttpAnswer, HttpFailed, request_once
+from caroblug.transport._http import HttpFailure, HttpResponse, request_once
 
 _ANSWER = b"HTTP/1.1 201 Created\r\nContent-Length: 2\r\n\r\nok"
 
@@ -50,7 +50,7 @@
     """
     with _Service() as service:
         answer = _once(service.port, method)
-        assert isinstance(answer, HttpFailed)
+        assert isinstance(answer, HttpFailure)
         assert answer.sent
         assert service.requests == 1
 
@@ -58,7 +58,7 @@
 def test_answer_is_passed_on():
     with _Service(_ANSWER) as service:
         answer = _once(service.port, "PUT")
-        assert isinstance(answer, HttpAnswer)
+        assert isinstance(answer, HttpResponse)
         assert (answer.status, answer.body) == (201, b"ok")
 
 
@@ -69,5 +69,5 @@
         assert service.requests == 0
         port = service.port
     refused = _once(port, "PUT")
-    assert isinstance(refused, HttpFailed)
+    assert isinstance(refused, HttpFailure)
     assert not refused.sent
--- a/standins/site.py
+++ b/standins/site.py
@@ -22,7 +22,7 @@
 import tomli_w
 
 from caroblug.core.state import hash_key, make_key
-from caroblug.transport._http import HttpAnswer, HttpFailed, JsonHttp
+from caroblug.transport._http import HttpFailure, HttpResponse, JsonHttpClient
 from standins._ports import Ports
 
 HOST = "127.0.0.1"
@@ -263,14 +263,14 @@
         path: str,
         body: Any = None,
         headers: dict[str, str] | None = None,
-    ) -> HttpAnswer:
+    ) -> HttpResponse:
         """Makes one call; raises if there is no answer."""
-        client = JsonHttp(HOST, port, _CALL_MS, connections=1)
+        client = JsonHttpClient(HOST, port, _CALL_MS, connections=1)
         try:
             answer = client.request(method, path, body, headers)
         finally:
             client.close()
-        if isinstance(answer, HttpFailed):
+        if isinstance(answer, HttpFailure):
             raise ConnectionError(answer.message)
         return answer
 
@@ -282,7 +282,7 @@
         path: str,
         body: Any = None,
         headers: dict[str, str] | None = None,
-    ) -> HttpAnswer:
+    ) -> HttpResponse:
         """Makes a caller's request to an entry."""
         sent = {"Authorization": f"Bearer {self.keys[account]}"}
         sent.update(headers or {})
