--- a/caroblug/entry/_plain.py
+++ b/caroblug/entry/_plain.py
@@ -163,14 +163,14 @@
         self._waiting[call.call] = _Waiting(
             instance, self._clock.now_ms(), sendings.inbox
         )
-        self._network.watch(instance)
+        self._network.add_in_flight(instance)
         self._network.send(view.address, call)
         return True
 
     def _forget(self, identity: str) -> _Waiting | None:
         waiting = self._waiting.pop(identity, None)
         if waiting is not None:
-            self._network.watch(waiting.instance, -1)
+            self._network.add_in_flight(waiting.instance, -1)
         return waiting
 
     def _end(self, identity: str, reply: wire.PlainReply | None) -> None:
--- a/caroblug/entry/_streams.py
+++ b/caroblug/entry/_streams.py
@@ -353,7 +353,7 @@
     def _count(self, chain: Chain, change: int) -> None:
         self._directory.add_streams(chain.instances, change)
         for instance in chain.instances:
-            self._network.watch(instance, change)
+            self._network.add_in_flight(instance, change)
 
     def _give_up(self, stream: RunningStream, refused: Refused) -> None:
         self._metrics.count("streams_given_up", reason=refused.type)
--- a/caroblug/entry/tests/test_slow_reader.py
+++ b/caroblug/entry/tests/test_slow_reader.py
@@ -23,7 +23,7 @@
     def is_connected(self, instance):
         return True
 
-    def watch(self, instance, change=1):
+    def add_in_flight(self, instance, change=1):
         pass
 
 
--- a/caroblug/node/_settings.py
+++ b/caroblug/node/_settings.py
@@ -2,7 +2,7 @@
 
 import attrs
 
-from caroblug.transport import Timing
+from caroblug.transport import SessionTiming
 from caroblug.utils import (
     SettingProblem,
     count,
@@ -93,9 +93,9 @@
         """Port by which others reach the peer port."""
         return self.advertised_port or self.peer_port
 
-    def make_timing(self) -> Timing:
+    def make_timing(self) -> SessionTiming:
         """Returns how soon a peer is asked whether it still lives."""
-        return Timing(
+        return SessionTiming(
             heartbeat_ms=self.heartbeat_ms,
             silence_ms=self.silence_ms,
             probe_ms=self.peer_probe_ms,
--- a/caroblug/side/_streams.py
+++ b/caroblug/side/_streams.py
@@ -250,9 +250,9 @@
         if known.watched == instance:
             return
         if known.watched:
-            self._network.watch(known.watched, -1)
+            self._network.add_in_flight(known.watched, -1)
         if instance:
-            self._network.watch(instance)
+            self._network.add_in_flight(instance)
         known.watched = instance
 
     def _fail(self, name: str, known: OpenStage, message: str) -> None:
--- a/caroblug/side/tests/test_streams.py
+++ b/caroblug/side/tests/test_streams.py
@@ -16,7 +16,7 @@
     def send(self, to, *messages):
         self.sent += [(to.instance, message) for message in messages]
 
-    def watch(self, instance, change=1):
+    def add_in_flight(self, instance, change=1):
         pass
 
 
--- a/caroblug/transport/__init__.py
+++ b/caroblug/transport/__init__.py
@@ -40,7 +40,7 @@
     PeerNetwork,
     make_peer_network,
 )
-from caroblug.transport._sessions import Timing
+from caroblug.transport._sessions import SessionTiming
 from caroblug.transport._suspicions import (
     suspicion_from_wire,
     suspicion_to_wire,
@@ -81,7 +81,7 @@
     "PeerHandler",
     "PeerNetwork",
     "Records",
-    "Timing",
+    "SessionTiming",
     "Reserved",
     "Sealer",
     "WeightStore",
--- a/caroblug/transport/_http.py
+++ b/caroblug/transport/_http.py
@@ -114,10 +114,10 @@
 ) -> HttpResponse | HttpFailure:
     """Makes one call over a connection of its own; sends it once at most.
 
-    Guards against a hidden resend: `JsonHttpClient` sends a PUT or DELETE again by
-    itself when a kept connection breaks, so that a service that has run it
-    runs it twice. A new connection is never a broken kept one, and http.client
-    sends nothing again.
+    Guards against a hidden resend: `JsonHttpClient` sends a PUT or DELETE
+    again by itself when a kept connection breaks, so that a service that has
+    run it runs it twice. A new connection is never a broken kept one, and
+    http.client sends nothing again.
 
     Args:
         host: IP address.
--- a/caroblug/transport/_peers.py
+++ b/caroblug/transport/_peers.py
@@ -19,7 +19,7 @@
 from caroblug.transport._handler import PeerHandler
 from caroblug.transport._links import Link, PeerAddress
 from caroblug.transport._pauses import PauseWatch
-from caroblug.transport._sessions import FORGOTTEN, Session, Timing
+from caroblug.transport._sessions import FORGOTTEN, Session, SessionTiming
 from caroblug.utils import Clock, Metrics, log_state
 
 _DIAL_TIMEOUT_MS = 1000
@@ -50,7 +50,7 @@
         handler: PeerHandler,
         clock: Clock,
         metrics: Metrics,
-        timing: Timing,
+        timing: SessionTiming,
     ) -> None:
         self._hello = hello
         self._shared_key = shared_key
@@ -95,7 +95,7 @@
         """Tells whether there is a session with a peer."""
         return instance in self._sessions
 
-    def watch(self, instance: str, change: int = 1) -> None:
+    def add_in_flight(self, instance: str, change: int = 1) -> None:
         """Adds to the count of work in flight that needs a peer.
 
         Heartbeats are frequent, and silence is noticed soon, only while the
@@ -385,9 +385,9 @@
     handler: PeerHandler,
     clock: Clock,
     metrics: Metrics,
-    timing: Timing | None = None,
+    timing: SessionTiming | None = None,
 ) -> PeerNetwork:
     """Returns a network that is not yet listening."""
     return PeerNetwork(
-        hello, shared_key, handler, clock, metrics, timing or Timing()
+        hello, shared_key, handler, clock, metrics, timing or SessionTiming()
     )
--- a/caroblug/transport/_sessions.py
+++ b/caroblug/transport/_sessions.py
@@ -43,7 +43,7 @@
 
 
 @attrs.frozen
-class Timing:
+class SessionTiming:
     """How soon a session is asked whether it still lives.
 
     Attributes:
@@ -189,7 +189,9 @@
         self._pinged_ms = 0
         self.delivery.restart_wait(now_ms)
 
-    def tick(self, timing: Timing, *, watched: bool, now_ms: int) -> bool:
+    def tick(
+        self, timing: SessionTiming, *, watched: bool, now_ms: int
+    ) -> bool:
         """Sends what is due, and tells whether the peer is suspected.
 
         Guards against a connection that something between the two ends has
