--- a/caroblug/node/tests/fakes.py
+++ b/caroblug/node/tests/fakes.py
@@ -28,7 +28,7 @@
     LogService,
     LogUnavailable,
     PeerAddress,
-    Records,
+    RecordBatch,
 )
 from caroblug.transport._framing import decode, encode
 from caroblug.utils import ManualClock, make_metrics
@@ -70,7 +70,7 @@
         first = max(offset, self.start)
         end = min(first + limit, len(self.records))
         found = tuple(LogRecord(n, self.records[n]) for n in range(first, end))
-        return Records(found, max(first, end), len(self.records))
+        return RecordBatch(found, max(first, end), len(self.records))
 
 
 class _LogOfOne(LogService):
--- a/caroblug/side/_once.py
+++ b/caroblug/side/_at_most_once.py
@@ -24,7 +24,7 @@
 from caroblug.side._plain import (
     DirectCaller,
     PlainCaller,
-    PlainCalls,
+    PlainCallHandler,
     refuse_call,
 )
 from caroblug.side._settings import SideSettings
@@ -40,7 +40,7 @@
 _WRITER_BYTES = 6
 
 
-class OnceCaller(PlainCaller):
+class AtMostOnceCaller(PlainCaller):
     """Makes a call with a key only when its intent is first on the log.
 
     Args:
@@ -268,12 +268,12 @@
     )
 
 
-def make_plain_calls(
+def make_plain_call_handler(
     settings: SideSettings,
     network: PeerNetwork,
     clock: Clock,
     metrics: Metrics,
-) -> PlainCalls:
+) -> PlainCallHandler:
     """Returns the calls of the plain service in the settings."""
     plain = settings.plain
     journal = make_journal(
@@ -286,5 +286,7 @@
         ServiceRule().remember_ms,
     )
     direct = DirectCaller(plain.host, plain.port, _SERVICE_TIMEOUT_MS)
-    caller = OnceCaller(direct, journal, metrics, settings.log_retention_ms)
-    return PlainCalls(plain.service, caller, network, metrics)
+    caller = AtMostOnceCaller(
+        direct, journal, metrics, settings.log_retention_ms
+    )
+    return PlainCallHandler(plain.service, caller, network, metrics)
--- a/caroblug/side/_pump.py
+++ b/caroblug/side/_batch_scheduler.py
@@ -15,10 +15,10 @@
     ItemQueue,
     make_queue,
 )
-from caroblug.side._in_engine import NORMAL, OVERTAKING, InEngine
+from caroblug.side._engine_occupancy import NORMAL, OVERTAKING, EngineOccupancy
 from caroblug.transport import (
     EngineClient,
-    EngineFailed,
+    EngineFailure,
     EngineItem,
     EngineResult,
 )
@@ -46,7 +46,7 @@
     alone: bool
 
 
-class EnginePump:
+class BatchScheduler:
     """Takes waiting items in fair order into batches.
 
     At most two batches of positions are in the engine, and two more of
@@ -70,7 +70,7 @@
         clock: Clock,
         metrics: Metrics,
         on_results: Callable[[Sequence[EngineResult]], None],
-        on_failed: Callable[[Mapping[str, int], EngineFailed], None],
+        on_failed: Callable[[Mapping[str, int], EngineFailure], None],
         batch: int,
         batches: int,
         queue: str,
@@ -86,7 +86,7 @@
         self._queue: ItemQueue[_Waiting] = make_queue(queue)
         self._suspects: IsolationQueue[_Waiting] = IsolationQueue()
         self._weights = AccountWeights()
-        self._inside = InEngine()
+        self._inside = EngineOccupancy()
         self._held: dict[str, collections.deque[_Waiting]] = {}
         self._ended: list[str] = []
         self._dropped: set[str] = set()
@@ -252,7 +252,7 @@
         if items:
             # A call that only ends sessions may return while a suspect runs.
             self._suspects.on_done()
-        if isinstance(outcome, EngineFailed):
+        if isinstance(outcome, EngineFailure):
             self._fail(items, in_engine, outcome)
         else:
             self._finish(items, outcome)
@@ -304,7 +304,9 @@
         items: list[EngineItem] = []
         while len(self._queue) and room > 0:
             if priority == OVERTAKING:
-                waiting = self._queue.get_excluding(self._inside.has_its_part)
+                waiting = self._queue.get_excluding(
+                    self._inside.has_half_of_heaviest
+                )
             else:
                 waiting = self._queue.get()
             if waiting is None:
@@ -378,7 +380,7 @@
         self,
         items: Sequence[EngineItem],
         in_engine: Mapping[str, int],
-        failed: EngineFailed,
+        failed: EngineFailure,
     ) -> None:
         for item in items:
             self._drop_held(item.session)
--- a/caroblug/side/_crashes.py
+++ b/caroblug/side/_crash_reporter.py
@@ -1,4 +1,4 @@
-"""Crashes of the backend server, and the requests suspected of them."""
+"""CrashReporter of the backend server, and the requests suspected of them."""
 
 import secrets
 from collections.abc import Callable, Iterable
@@ -18,7 +18,7 @@
 _CRASH_BYTES = 6
 
 
-class Crashes:
+class CrashReporter:
     """Tells entries which requests were in flight when the server crashed.
 
     Args:
--- a/caroblug/side/_in_engine.py
+++ b/caroblug/side/_engine_occupancy.py
@@ -9,7 +9,7 @@
 NORMAL = 1
 
 
-class InEngine:
+class EngineOccupancy:
     """Counts items and positions from when they are taken till answered."""
 
     def __init__(self) -> None:
@@ -33,7 +33,7 @@
         """Returns the positions in the engine in calls of a priority."""
         return self._positions[priority]
 
-    def has_its_part(self, client_account: str) -> bool:
+    def has_half_of_heaviest(self, client_account: str) -> bool:
         """Tells whether an account has half of what the heaviest has."""
         heaviest = max(self._by_account.values(), default=0)
         return 2 * self._by_account[client_account] >= heaviest
--- a/caroblug/side/_engine_watch.py
+++ b/caroblug/side/_monitored_engine.py
@@ -6,7 +6,7 @@
 from caroblug.transport import (
     EngineClient,
     EngineDescription,
-    EngineFailed,
+    EngineFailure,
     EngineItem,
     EngineResult,
 )
@@ -17,7 +17,7 @@
 _OVERDUE_SLACK_MS = 100
 
 
-class WatchedEngine(EngineClient):
+class MonitoredEngine(EngineClient):
     """Passes calls to an engine and notes when it last answered a batch.
 
     Guards against an engine that is frozen behind a side process which
@@ -54,7 +54,7 @@
 
     def run(
         self, items: Sequence[EngineItem], ended: Sequence[str]
-    ) -> tuple[EngineResult, ...] | EngineFailed:
+    ) -> tuple[EngineResult, ...] | EngineFailure:
         """Runs a batch.
 
         Guards against a cache that is never freed: a session that ends while
@@ -72,7 +72,7 @@
             self._begun_ms.remove(begun_ms)
             self._in_engine.subtract(sessions)
             self._in_engine += collections.Counter()
-        if not isinstance(outcome, EngineFailed):
+        if not isinstance(outcome, EngineFailure):
             self._answered_ms = self._clock.now_ms()
             took_ms = float(self._answered_ms - begun_ms)
             self._usual_ms = max(took_ms, self._usual_ms * _USUAL_DECAY)
@@ -84,14 +84,14 @@
         self._ended = [s for s in self._ended if s in self._in_engine]
         return told
 
-    def describe(self) -> EngineDescription | EngineFailed:
+    def describe(self) -> EngineDescription | EngineFailure:
         """Returns what the engine says of itself, or that it is lost.
 
         An engine that only was too busy to answer is described as before.
         """
         begun_ms = self._clock.now_ms()
         outcome = self._probe.describe()
-        if not isinstance(outcome, EngineFailed):
+        if not isinstance(outcome, EngineFailure):
             self._silent_probes = 0
             self._known = outcome
             return outcome
--- a/caroblug/side/_orders.py
+++ b/caroblug/side/_placement_reconciler.py
@@ -11,13 +11,13 @@
 from caroblug.side._lease import EngineLease
 from caroblug.side._settings import SideSettings
 from caroblug.transport import (
-    EngineOrders,
+    EngineOrderClient,
     OrderFailed,
     OrderTaken,
     Reserved,
     WeightsBusy,
     WeightStore,
-    make_engine_orders,
+    make_engine_order_client,
     make_log_service,
     make_weight_store,
 )
@@ -30,7 +30,7 @@
 
 
 @attrs.frozen
-class Target:
+class PlacementTarget:
     """Where the bundle in force places an engine.
 
     Attributes:
@@ -42,7 +42,7 @@
     placement: Placement
 
 
-class OrderKeeper:
+class PlacementReconciler:
     """Orders the engine whenever its state is not the placed one.
 
     Guards against a paused predecessor's late order at an engine that
@@ -63,10 +63,10 @@
 
     def __init__(
         self,
-        orders: EngineOrders,
+        orders: EngineOrderClient,
         lease: EngineLease,
         weights: WeightStore | None,
-        target: Callable[[], Target | None],
+        target: Callable[[], PlacementTarget | None],
         busy: Callable[[], bool],
         on_ordered: Callable[[], None],
         on_changed: Callable[[], None],
@@ -185,15 +185,15 @@
         self._changing = changing
 
 
-def make_order_keeper(
+def make_placement_reconciler(
     settings: SideSettings,
-    target: Callable[[], Target | None],
+    target: Callable[[], PlacementTarget | None],
     busy: Callable[[], bool],
     on_ordered: Callable[[], None],
     on_changed: Callable[[], None],
     clock: Clock,
     metrics: Metrics,
-) -> OrderKeeper:
+) -> PlacementReconciler:
     """Returns the keeper of the engine in the settings."""
     store = settings.weight_store
     lease = EngineLease(
@@ -203,8 +203,8 @@
         clock,
         settings.lease_ms,
     )
-    return OrderKeeper(
-        make_engine_orders(settings.engine.host, settings.engine.port),
+    return PlacementReconciler(
+        make_engine_order_client(settings.engine.host, settings.engine.port),
         lease,
         make_weight_store(store.host, store.port) if store else None,
         target,
--- a/caroblug/side/_plain.py
+++ b/caroblug/side/_plain.py
@@ -138,7 +138,7 @@
     )
 
 
-class PlainCalls:
+class PlainCallHandler:
     """The calls that run at this side process.
 
     Args:
--- a/caroblug/side/_server.py
+++ b/caroblug/side/_server.py
@@ -16,19 +16,23 @@
     add_status_route,
     make_fleet,
 )
-from caroblug.side._crashes import Crashes
-from caroblug.side._engine_watch import WatchedEngine
-from caroblug.side._once import make_plain_calls
-from caroblug.side._open_stream import address_of
-from caroblug.side._orders import OrderKeeper, Target, make_order_keeper
-from caroblug.side._plain import PlainCalls
-from caroblug.side._pump import EnginePump
+from caroblug.side._at_most_once import make_plain_call_handler
+from caroblug.side._batch_scheduler import BatchScheduler
+from caroblug.side._crash_reporter import CrashReporter
+from caroblug.side._monitored_engine import MonitoredEngine
+from caroblug.side._open_stage import address_of
+from caroblug.side._placement_reconciler import (
+    PlacementReconciler,
+    PlacementTarget,
+    make_placement_reconciler,
+)
+from caroblug.side._plain import PlainCallHandler
 from caroblug.side._settings import SideSettings
 from caroblug.side._streams import StageStreams
 from caroblug.transport import (
     EngineClient,
     EngineDescription,
-    EngineFailed,
+    EngineFailure,
     PeerAddress,
     PeerHandler,
     make_engine_client,
@@ -84,7 +88,7 @@
             self._on_head,
         )
         self.bundles = self.fleet.bundles
-        self._crashes = Crashes(
+        self._crashes = CrashReporter(
             settings.instance,
             self.network,
             self._quarantine,
@@ -93,10 +97,10 @@
         )
         self._description: EngineDescription | None = None
         self._engine: EngineClient | None = None
-        self._pump: EnginePump | None = None
+        self._pump: BatchScheduler | None = None
         self._streams: StageStreams | None = None
-        self._calls: PlainCalls | None = None
-        self._keeper: OrderKeeper | None = None
+        self._calls: PlainCallHandler | None = None
+        self._keeper: PlacementReconciler | None = None
         self._make_backend()
 
     @property
@@ -161,12 +165,12 @@
     def _make_backend(self) -> None:
         settings = self.settings
         if settings.plain is not None:
-            self._calls = make_plain_calls(
+            self._calls = make_plain_call_handler(
                 settings, self.network, self._clock, self.metrics
             )
             return
         address = settings.engine
-        self._engine = WatchedEngine(
+        self._engine = MonitoredEngine(
             make_engine_client(
                 address.host, address.port, settings.engine_timeout_ms
             ),
@@ -176,7 +180,7 @@
             self._clock,
             settings.engine_probe_ms,
         )
-        self._pump = EnginePump(
+        self._pump = BatchScheduler(
             self._engine,
             self._clock,
             self.metrics,
@@ -196,7 +200,7 @@
             self._sharing,
         )
         self._pump.start()
-        self._keeper = make_order_keeper(
+        self._keeper = make_placement_reconciler(
             settings,
             self._target,
             lambda: len(self._streams) > 0,
@@ -231,13 +235,13 @@
             return StageFailure.QUARANTINED
         return "" if self._is_up() else StageFailure.ENGINE_FAILED
 
-    def _target(self) -> Target | None:
+    def _target(self) -> PlacementTarget | None:
         head = self.bundles.head
         if head is None or self.lifetime.leaving:
             return None
         name = self.settings.engine_name or self.settings.instance
         placement = head.bundle.placements.get(name)
-        return placement and Target(head.version, placement)
+        return placement and PlacementTarget(head.version, placement)
 
     def _on_ordered(self) -> None:
         """Forgets the engine's description, which is read anew."""
@@ -246,7 +250,7 @@
 
     def _on_changed(self) -> None:
         """Gives up the streams: they run on elsewhere."""
-        failed = EngineFailed("the engine was ordered by somebody else")
+        failed = EngineFailure("the engine was ordered by somebody else")
         self._on_engine_lost(self._pump.in_engine, failed)
 
     def _takes_none(self) -> bool:
@@ -286,7 +290,7 @@
         return head.bundle.quarantine if head is not None else Quarantine()
 
     def _on_engine_lost(
-        self, in_engine: Mapping[str, int], failed: EngineFailed
+        self, in_engine: Mapping[str, int], failed: EngineFailure
     ) -> None:
         """Tells entries, of suspects first: they retry what they hear of."""
         if failed.crashed:
@@ -307,7 +311,7 @@
     def _watch_engine(self) -> None:
         while True:
             description = self._engine.describe()
-            if isinstance(description, EngineFailed):
+            if isinstance(description, EngineFailure):
                 if self._description is not None:
                     self._on_engine_lost(self._pump.in_engine, description)
             elif self._description is None:
--- a/caroblug/side/_streams.py
+++ b/caroblug/side/_streams.py
@@ -6,13 +6,13 @@
 from caroblug.core.recovery import StageFailure, StageStream
 from caroblug.core.state import Sharing
 from caroblug.gen.wire import ttypes as wire
-from caroblug.side._open_stream import (
+from caroblug.side._batch_scheduler import BatchScheduler
+from caroblug.side._open_stage import (
     OpenStage,
     address_of,
     has_same_layers,
     make_next_open,
 )
-from caroblug.side._pump import EnginePump
 from caroblug.transport import (
     EngineItem,
     EngineResult,
@@ -42,7 +42,7 @@
         self,
         instance: str,
         network: PeerNetwork,
-        pump: EnginePump,
+        pump: BatchScheduler,
         clock: Clock,
         metrics: Metrics,
         journal_positions: int,
--- a/caroblug/side/tests/test_pump.py
+++ b/caroblug/side/tests/test_batch_scheduler.py
@@ -5,7 +5,7 @@
 import gevent
 from gevent import event
 
-from caroblug.side import EnginePump
+from caroblug.side import BatchScheduler
 from caroblug.transport import EngineClient, EngineItem, EngineResult
 from caroblug.utils import ManualClock, make_metrics
 
@@ -39,7 +39,7 @@
     def __init__(self):
         self.engine = _Engine()
         self.results = []
-        self.pump = EnginePump(
+        self.pump = BatchScheduler(
             self.engine,
             ManualClock(),
             make_metrics(),
--- a/caroblug/side/tests/test_pump_shares.py
+++ b/caroblug/side/tests/test_batch_scheduler_fairness.py
@@ -4,8 +4,8 @@
 
 import gevent
 
-from caroblug.side import EnginePump
-from caroblug.side.tests.test_pump import _BATCH, _Engine
+from caroblug.side import BatchScheduler
+from caroblug.side.tests.test_batch_scheduler import _BATCH, _Engine
 from caroblug.transport import EngineItem
 from caroblug.utils import ManualClock, make_metrics
 
@@ -16,7 +16,7 @@
         self.clock = ManualClock(1000)
         self.metrics = make_metrics()
         self.results = []
-        self.pump = EnginePump(
+        self.pump = BatchScheduler(
             self.engine,
             self.clock,
             self.metrics,
--- a/caroblug/side/tests/test_journal.py
+++ b/caroblug/side/tests/test_journal.py
@@ -9,7 +9,7 @@
     LogRecord,
     LogService,
     LogUnavailable,
-    Records,
+    RecordBatch,
 )
 from caroblug.utils import MonotonicClock, make_metrics
 
@@ -43,7 +43,7 @@
             LogRecord(at, self.records[at])
             for at in range(offset, min(end, offset + limit))
         ]
-        return Records(tuple(records), offset + len(records), end)
+        return RecordBatch(tuple(records), offset + len(records), end)
 
 
 def _make(log):
--- a/caroblug/side/tests/test_streams.py
+++ b/caroblug/side/tests/test_streams.py
@@ -3,7 +3,7 @@
 from caroblug.core.recovery import ForwardOpen
 from caroblug.core.state import Sharing
 from caroblug.gen.wire import ttypes as wire
-from caroblug.side import _open_stream, _streams
+from caroblug.side import _open_stage, _streams
 from caroblug.utils import ManualClock, make_metrics
 
 
@@ -112,7 +112,7 @@
     }
     opened = wire.OpenStream(**values)
     forward = ForwardOpen(1001, 1002)
-    following = _open_stream.make_next_open(opened, forward)
+    following = _open_stage.make_next_open(opened, forward)
     assert following.stage == opened.stage + 1
     assert following.tokens == []
     values["known_length"] = forward.known_length
--- a/caroblug/transport/__init__.py
+++ b/caroblug/transport/__init__.py
@@ -3,13 +3,20 @@
 from caroblug.transport._engine import (
     EngineClient,
     EngineDescription,
-    EngineFailed,
+    EngineFailure,
     EngineItem,
     EngineResult,
     HttpEngineClient,
     make_engine_client,
 )
-from caroblug.transport._framing import FrameError, Sealer
+from caroblug.transport._engine_orders import (
+    EngineOrderClient,
+    OrderFailed,
+    OrderFenced,
+    OrderTaken,
+    make_engine_order_client,
+)
+from caroblug.transport._framing import FrameAuthenticator, FrameError
 from caroblug.transport._handler import PeerHandler
 from caroblug.transport._http import HttpFailure, HttpResponse, JsonHttpClient
 from caroblug.transport._instances import (
@@ -26,26 +33,19 @@
     LogRecord,
     LogService,
     LogUnavailable,
-    Records,
+    RecordBatch,
     make_log_service,
 )
-from caroblug.transport._orders import (
-    EngineOrders,
-    OrderFailed,
-    OrderFenced,
-    OrderTaken,
-    make_engine_orders,
-)
 from caroblug.transport._peers import (
     PeerNetwork,
     make_peer_network,
 )
 from caroblug.transport._sessions import SessionTiming
-from caroblug.transport._suspicions import (
+from caroblug.transport._suspicion_messages import (
     suspicion_from_wire,
     suspicion_to_wire,
 )
-from caroblug.transport._weights import (
+from caroblug.transport._weight_store import (
     Reserved,
     WeightsBusy,
     WeightStore,
@@ -57,9 +57,9 @@
     "Appended",
     "EngineClient",
     "EngineDescription",
-    "EngineFailed",
+    "EngineFailure",
     "EngineItem",
-    "EngineOrders",
+    "EngineOrderClient",
     "EngineResult",
     "FrameError",
     "HttpResponse",
@@ -80,15 +80,15 @@
     "PeerAddress",
     "PeerHandler",
     "PeerNetwork",
-    "Records",
+    "RecordBatch",
     "SessionTiming",
     "Reserved",
-    "Sealer",
+    "FrameAuthenticator",
     "WeightStore",
     "WeightsBusy",
     "WeightsUnavailable",
     "make_engine_client",
-    "make_engine_orders",
+    "make_engine_order_client",
     "make_instance_list",
     "make_log_service",
     "make_peer_network",
--- a/caroblug/transport/_engine.py
+++ b/caroblug/transport/_engine.py
@@ -82,7 +82,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class EngineFailed:
+class EngineFailure:
     """The engine gave no answer.
 
     Attributes:
@@ -98,13 +98,13 @@
     """A client of one engine."""
 
     @abc.abstractmethod
-    def describe(self) -> EngineDescription | EngineFailed:
+    def describe(self) -> EngineDescription | EngineFailure:
         """Returns what the engine says of itself."""
 
     @abc.abstractmethod
     def run(
         self, items: Sequence[EngineItem], ended: Sequence[str]
-    ) -> tuple[EngineResult, ...] | EngineFailed:
+    ) -> tuple[EngineResult, ...] | EngineFailure:
         """Runs a batch.
 
         Args:
@@ -119,11 +119,11 @@
     def __init__(self, host: str, port: int, timeout_ms: int) -> None:
         self._client = JsonHttpClient(host, port, timeout_ms, _CONNECTIONS)
 
-    def describe(self) -> EngineDescription | EngineFailed:
+    def describe(self) -> EngineDescription | EngineFailure:
         """Returns what the engine says of itself."""
         answer = self._client.request("GET", "/v1/engine")
         if isinstance(answer, HttpFailure):
-            return EngineFailed(answer.message, not answer.timed_out)
+            return EngineFailure(answer.message, not answer.timed_out)
         try:
             body = answer.json()
             return EngineDescription(
@@ -133,11 +133,11 @@
                 }
             )
         except (KeyError, TypeError, ValueError):
-            return EngineFailed("answer does not parse")
+            return EngineFailure("answer does not parse")
 
     def run(
         self, items: Sequence[EngineItem], ended: Sequence[str]
-    ) -> tuple[EngineResult, ...] | EngineFailed:
+    ) -> tuple[EngineResult, ...] | EngineFailure:
         """Runs a batch."""
         body = {
             "items": [_encode_item(item) for item in items],
@@ -146,13 +146,13 @@
         answer = self._client.request("POST", "/v1/run", body)
         if isinstance(answer, HttpFailure):
             crashed = answer.sent and not answer.timed_out
-            return EngineFailed(answer.message, crashed)
+            return EngineFailure(answer.message, crashed)
         if answer.status != _OK:
-            return EngineFailed(f"status {answer.status}")
+            return EngineFailure(f"status {answer.status}")
         try:
             return tuple(_decode_result(r) for r in answer.json()["results"])
         except (KeyError, TypeError, ValueError):
-            return EngineFailed("answer does not parse")
+            return EngineFailure("answer does not parse")
 
 
 def _encode_item(item: EngineItem) -> dict:
--- a/caroblug/transport/_orders.py
+++ b/caroblug/transport/_engine_orders.py
@@ -33,7 +33,7 @@
     message: str
 
 
-class EngineOrders(abc.ABC):
+class EngineOrderClient(abc.ABC):
     """Orders of one engine."""
 
     @abc.abstractmethod
@@ -53,7 +53,7 @@
         """
 
 
-class HttpEngineOrders(EngineOrders):
+class HttpEngineOrderClient(EngineOrderClient):
     """Orders over HTTP and JSON."""
 
     def __init__(self, host: str, port: int, timeout_ms: int) -> None:
@@ -86,8 +86,8 @@
         return OrderTaken()
 
 
-def make_engine_orders(
+def make_engine_order_client(
     host: str, port: int, timeout_ms: int = 60_000
-) -> EngineOrders:
+) -> EngineOrderClient:
     """Returns the orders of the engine at an address."""
-    return HttpEngineOrders(host, port, timeout_ms)
+    return HttpEngineOrderClient(host, port, timeout_ms)
--- a/caroblug/transport/_framing.py
+++ b/caroblug/transport/_framing.py
@@ -37,7 +37,7 @@
     """A frame that is over-long, does not verify or does not decode."""
 
 
-class Sealer:
+class FrameAuthenticator:
     """Seals and checks the frames of one direction.
 
     Args:
--- a/caroblug/transport/_links.py
+++ b/caroblug/transport/_links.py
@@ -38,8 +38,8 @@
         self,
         sock: socket.socket,
         theirs: wire.Hello,
-        sender: framing.Sealer,
-        checker: framing.Sealer,
+        sender: framing.FrameAuthenticator,
+        checker: framing.FrameAuthenticator,
         now_ms: int,
     ) -> None:
         self.peer = PeerAddress(
@@ -171,6 +171,6 @@
     key: bytes,
     now_ms: int,
 ) -> Link:
-    sender = framing.Sealer(key, mine.instance)
-    checker = framing.Sealer(key, theirs.instance)
+    sender = framing.FrameAuthenticator(key, mine.instance)
+    checker = framing.FrameAuthenticator(key, theirs.instance)
     return Link(sock, theirs, sender, checker, now_ms)
--- a/caroblug/transport/_log.py
+++ b/caroblug/transport/_log.py
@@ -30,7 +30,7 @@
 
 
 @attrs.frozen
-class Records:
+class RecordBatch:
     """Records read from a stream.
 
     Attributes:
@@ -67,7 +67,7 @@
     @abc.abstractmethod
     def read(
         self, stream: str, offset: int, limit: int = 100, wait_ms: int = 0
-    ) -> Records | LogUnavailable:
+    ) -> RecordBatch | LogUnavailable:
         """Reads from `offset`, waiting up to `wait_ms` for a first record.
 
         Where older records have expired, reading begins at the oldest kept.
@@ -99,7 +99,7 @@
 
     def read(
         self, stream: str, offset: int, limit: int = 100, wait_ms: int = 0
-    ) -> Records | LogUnavailable:
+    ) -> RecordBatch | LogUnavailable:
         """Reads from `offset`."""
         client = self._waiting if wait_ms else self._short
         path = f"/streams/{stream}?offset={offset}&limit={limit}"
@@ -114,12 +114,12 @@
             return LogUnavailable("answer does not parse")
 
 
-def _parse_records(body: dict) -> Records:
+def _parse_records(body: dict) -> RecordBatch:
     records = tuple(
         LogRecord(int(r["offset"]), base64.b64decode(r["data"]))
         for r in body["records"]
     )
-    return Records(records, int(body["next"]), int(body["end"]))
+    return RecordBatch(records, int(body["next"]), int(body["end"]))
 
 
 def make_log_service(
--- a/caroblug/transport/_pauses.py
+++ b/caroblug/transport/_pause_detector.py
@@ -3,7 +3,7 @@
 from caroblug.utils import Clock
 
 
-class PauseWatch:
+class PauseDetector:
     """Compares the time between ticks with what it should be.
 
     Args:
--- a/caroblug/transport/_peers.py
+++ b/caroblug/transport/_peers.py
@@ -18,7 +18,7 @@
 from caroblug.transport import _links
 from caroblug.transport._handler import PeerHandler
 from caroblug.transport._links import Link, PeerAddress
-from caroblug.transport._pauses import PauseWatch
+from caroblug.transport._pause_detector import PauseDetector
 from caroblug.transport._sessions import FORGOTTEN, Session, SessionTiming
 from caroblug.utils import Clock, Metrics, log_state
 
@@ -62,7 +62,7 @@
         self._watched: collections.Counter[str] = collections.Counter()
         self._server: server.StreamServer | None = None
         self._stopped = False
-        self._pauses = PauseWatch(
+        self._pauses = PauseDetector(
             clock, _TICK_MS, _PAUSE_MS, timing.silence_ms + timing.probe_ms
         )
 
