--- a/caroblug/entry/_plain_service_client.py
+++ b/caroblug/entry/_plain_service_client.py
@@ -163,14 +163,14 @@
         self._pending[call.call] = _PendingAttempt(
             instance, self._clock.now_ms(), attempts.inbox
         )
-        self._network.watch(instance)
+        self._network.add_in_flight(instance)
         self._network.send(view.address, call)
         return True
 
     def _remove(self, call_id: str) -> _PendingAttempt | None:
         attempt = self._pending.pop(call_id, None)
         if attempt is not None:
-            self._network.watch(attempt.instance, -1)
+            self._network.add_in_flight(attempt.instance, -1)
         return attempt
 
     def _complete(self, call_id: str, reply: wire.PlainReply | None) -> None:
