--- a/caroblug/entry/_authentication.py
+++ b/caroblug/entry/_authentication.py
@@ -1,6 +1,6 @@
 """Authenticates callers by their API key."""
 
-from caroblug.core.state import Bundle, key_matches, split_key
+from caroblug.core.state import Bundle, key_matches, parse_account
 from caroblug.utils import RefusalType, Refused
 
 _BEARER_PREFIX = "Bearer "
@@ -24,7 +24,7 @@
             "the Authorization header must carry a bearer key",
         )
     key = authorization[len(_BEARER_PREFIX) :].strip()
-    account = split_key(key)
+    account = parse_account(key)
     rule = bundle.client_accounts.get(account)
     if rule is None:
         return _UNKNOWN_KEY
--- a/caroblug/entry/_subset.py
+++ b/caroblug/entry/_subset.py
@@ -3,7 +3,7 @@
 import collections
 from collections.abc import Collection
 
-from caroblug.core.routing import Kind, choose_subset, choose_unknown
+from caroblug.core.routing import Kind, choose_instances_to_probe, choose_subset
 from caroblug.gen.wire import ttypes as wire
 
 _PROBES_PER_ROUND = 32
@@ -60,6 +60,8 @@
         unknown = [i for i in listed if i not in self._kinds]
         fewest = min((self._probe_counts[i] for i in unknown), default=0)
         candidates = [i for i in unknown if self._probe_counts[i] == fewest]
-        probed = choose_unknown(self.owner, candidates, _PROBES_PER_ROUND)
+        probed = choose_instances_to_probe(
+            self.owner, candidates, _PROBES_PER_ROUND
+        )
         self._probe_counts.update(probed)
         return choose_subset(self.owner, self._kinds, self.size) | probed
--- a/caroblug/side/_streams.py
+++ b/caroblug/side/_streams.py
@@ -6,13 +6,13 @@
 from caroblug.core.recovery import StageFailure, StageStream
 from caroblug.core.state import Sharing
 from caroblug.gen.wire import ttypes as wire
-from caroblug.side._open_stream import (
+from caroblug.side._batch_scheduler import BatchScheduler
+from caroblug.side._open_stage import (
     OpenStage,
     address_of,
     has_same_layers,
     make_next_open,
 )
-from caroblug.side._pump import EnginePump
 from caroblug.transport import (
     EngineItem,
     EngineResult,
@@ -42,7 +42,7 @@
         self,
         instance: str,
         network: PeerNetwork,
-        pump: EnginePump,
+        pump: BatchScheduler,
         clock: Clock,
         metrics: Metrics,
         journal_positions: int,
@@ -250,9 +250,9 @@
         if known.watched == instance:
             return
         if known.watched:
-            self._network.watch(known.watched, -1)
+            self._network.add_in_flight(known.watched, -1)
         if instance:
-            self._network.watch(instance)
+            self._network.add_in_flight(instance)
         known.watched = instance
 
     def _fail(self, name: str, known: OpenStage, message: str) -> None:
