--- a/caroblug/core/limits/tests/test_shares.py
+++ b/caroblug/core/limits/tests/test_shares.py
@@ -10,7 +10,7 @@
     AccountRule,
     Demand,
     EntryShares,
-    Homes,
+    HomeEntries,
     HomeShares,
 )
 
@@ -64,14 +64,14 @@
         if not shares.spend(_ACCOUNT, _RULE, tokens, self.now_ms):
             return
         self.spent += tokens
-        if shares.take(_ACCOUNT, _RULE, self.now_ms):
+        if shares.open_stream(_ACCOUNT, _RULE, self.now_ms):
             self.open[entry] += 1
 
     @rule(entry=_entry)
     def finish(self, entry):
         if self.open[entry]:
             self.open[entry] -= 1
-            self.entries[entry].give_back(_ACCOUNT)
+            self.entries[entry].close_stream(_ACCOUNT)
 
     @rule(ms=st.integers(1, 4 * _TERM_MS))
     def wait(self, ms):
@@ -125,7 +125,7 @@
         shares.on_listed(len(streams))
         shares.touch(_ACCOUNT, _RULE, now_ms)
         for _ in range(wanted):
-            shares.take(_ACCOUNT, _RULE, now_ms)
+            shares.open_stream(_ACCOUNT, _RULE, now_ms)
     opened = {
         name: s.report(_ACCOUNT, 0).streams for name, s in entries.items()
     }
@@ -149,7 +149,7 @@
     taken = 0
     for now_ms in range(0, 15_000, 500):
         _report_all(home, {"entry-0": shares}, now_ms)
-        while shares.take(_ACCOUNT, _RULE, now_ms):
+        while shares.open_stream(_ACCOUNT, _RULE, now_ms):
             taken += 1
     assert taken == _RULE.streams
 
@@ -184,7 +184,7 @@
         grant = home.on_demand("entry-0", _ACCOUNT, demand, _RULE, now_ms)
         shares.on_grant(_ACCOUNT, grant, now_ms)
     shares.touch(_ACCOUNT, _RULE, 200)
-    assert shares.take(_ACCOUNT, _RULE, 200)
+    assert shares.open_stream(_ACCOUNT, _RULE, 200)
 
 
 def test_share_decays_without_its_home():
@@ -208,7 +208,7 @@
     The dead home's count of used tokens is gone; its successor has not heard
     of the account and must not take it for an idle one.
     """
-    homes = Homes("entry-a", settled_ms=60_000)
+    homes = HomeEntries("entry-a", settled_ms=60_000)
     names = [f"entry-{c}" for c in "abcdef"]
     homes.on_listed(names, 0)
     homes.on_listed(names, 70_000)
@@ -217,11 +217,11 @@
         for n in range(1000)
         if homes.home_of(f"school-{n}") == "entry-b"
     )
-    assert homes.held_ms(account, 70_000) == 60_000
+    assert homes.home_age_ms(account, 70_000) == 60_000
     while homes.home_of(account) != "entry-a":
         names.remove(homes.home_of(account))
         homes.on_listed(names, 80_000)
-    assert homes.held_ms(account, 81_000) == 1_000
+    assert homes.home_age_ms(account, 81_000) == 1_000
     fresh = HomeShares(_TERM_MS)
     demand = EntryShares(_TERM_MS)
     demand.touch(account, _RULE, 81_000)
@@ -231,15 +231,15 @@
         demand.report(account, 81_000, wanted=1),
         _RULE,
         81_000,
-        held_ms=homes.held_ms(account, 81_000),
+        idle_ms=homes.home_age_ms(account, 81_000),
     )
     assert 0 < grant.tokens <= _RULE.tokens_per_minute / 60
-    assert homes.held_ms(account, 141_000) == 60_000
+    assert homes.home_age_ms(account, 141_000) == 60_000
 
 
 def test_only_the_accounts_of_a_lost_entry_move():
     names = [f"entry-{n}" for n in range(20)]
-    before, after = Homes("entry-0", 1), Homes("entry-0", 1)
+    before, after = HomeEntries("entry-0", 1), HomeEntries("entry-0", 1)
     before.on_listed(names, 0)
     after.on_listed(names[:-1], 0)
     for number in range(500):
@@ -260,10 +260,10 @@
         home.on_demand("entry-0", account, demand, _RULE, now_ms)
         if source.random() < 0.1:
             home.forget_idle(now_ms)
-            shares.due(1000, now_ms)
+            shares.due_accounts(1000, now_ms)
     home.forget_idle(600_000)
     for now_ms in (600_000, 602_000):
-        for account in shares.due(1000, now_ms):
+        for account in shares.due_accounts(1000, now_ms):
             shares.report(account, now_ms)
     assert len(home) == 0
     assert len(shares) == 0
--- a/caroblug/core/placement/_paths.py
+++ b/caroblug/core/placement/_paths.py
@@ -1,4 +1,4 @@
-"""The path of one request: engines that together run every layer in order."""
+"""Choice of the engines that run the layers of one request, in order."""
 
 import heapq
 import random
@@ -9,42 +9,43 @@
 from caroblug.core.placement._planner import HOP_MS
 from caroblug.core.placement._types import Engine, LayerRange, ModelShape
 
-_CROSSING_QUEUE = 2.0
-"""Cost of leaving a data centre inside the path, in times that a usual
-prompt's activations take on the link alone: everybody shares it, and what
-waits there waits with each token.
-"""
+_LINK_QUEUE_FACTOR = 2.0
+"""Cost of a transfer between data centres inside a path, as a multiple of
+`ModelShape.transfer_ms`. All requests share the link, and its queue delays
+every token."""
 
-_AWAY_MS = 15.0
-"""Cost of beginning in another data centre than the caller's entry.
+_REMOTE_START_MS = 15.0
+"""Cost of a path that starts outside the entry's data centre.
 
-A faster chain elsewhere saves some ms a step, which no caller notices, while
-each event crosses. Only crowding is worth that.
+A faster remote chain saves a few milliseconds per step, which callers don't
+notice, while each event has to cross the link. Only high memory use of the
+local engines outweighs that.
 """
 
-_USE_MS = 2.0
-"""Cost of an engine whose memory is all taken, below `_CROWDED`: enough for
-chains that differ by some ms a step to fill alike."""
+_MEMORY_USE_MS = 2.0
+"""Cost of an engine whose memory is fully used, without the surcharge above
+`_HIGH_USE`. It is enough to fill chains evenly whose step times differ by a few
+milliseconds."""
 
-_CROWDED = 0.6
-"""Use of an engine's memory from which its cost rises steeply."""
+_HIGH_USE = 0.6
+"""Share of an engine's memory in use above which the surcharge applies."""
 
-_CROWDED_MS = 60.0
-"""Cost per unit of use above `_CROWDED`: memory that runs out preempts the
-newest request, whose prompt is then read again."""
+_HIGH_USE_MS = 60.0
+"""Surcharge per unit of memory use above `_HIGH_USE`. An engine that runs out
+of memory preempts its newest request, whose prompt is then prefilled again."""
 
-_READ_COST = 0.008
-"""Cost of a ms that an engine is busy with prompts sent to it before. A second
-chain then takes its part of what comes at once, while one request after the
-other goes over the quickest."""
+_PREFILL_QUEUE_FACTOR = 0.008
+"""Cost of a millisecond of pending prefills on an engine. It spreads requests
+that arrive at once over several chains, while requests that arrive one after
+another all take the fastest chain."""
 
-_MOST_PARTS = 32
-"""Engines on one path that the first engine takes."""
+_MAX_PARTS = 32
+"""Maximum number of engines on a path, which the first engine enforces."""
 
 
 @attrs.frozen
 class PathPart:
-    """One engine of a path, and the layers that it runs."""
+    """An engine of a path and the layers that it runs for the request."""
 
     engine: Engine
     layers: LayerRange
@@ -55,8 +56,9 @@
     """Engines that together run every layer once, in order.
 
     Attributes:
-        parts: At least one; each begins where the last one ended.
-        use: Highest share of an engine's room that is taken.
+        parts: At least one part; each begins where the previous one ends.
+        use: Memory use of the fullest engine, as a share of its token
+            capacity.
     """
 
     parts: tuple[PathPart, ...]
@@ -71,7 +73,7 @@
 
     @property
     def first(self) -> Engine:
-        """The engine that the request is sent to."""
+        """The first engine, which receives the request."""
         return self.parts[0].engine
 
     @property
@@ -80,17 +82,17 @@
         return tuple(part.engine.name for part in self.parts)
 
     @property
-    def crosses(self) -> bool:
-        """Whether it runs over engines of more than one data centre."""
+    def crosses_data_centres(self) -> bool:
+        """Whether the path has engines in more than one data centre."""
         return len({part.engine.data_centre for part in self.parts}) > 1
 
 
 @attrs.frozen
 class NoPath:
-    """Some layer is held by no engine that may be used.
+    """Result of a search for a path that found none.
 
     Attributes:
-        layer: The first such layer on the best try.
+        layer: First layer for which the longest partial path has no engine.
     """
 
     layer: int
@@ -102,34 +104,43 @@
     loads: EngineLoads,
     data_centre: str,
     rng: random.Random,
-    first_not: frozenset[str] = frozenset(),
+    excluded_first: frozenset[str] = frozenset(),
     after: PathPart | None = None,
 ) -> Path | NoPath:
-    """Returns the cheapest path, by time of a token step and crowding.
+    """Returns the path with the lowest cost.
+
+    The cost is the time of a decode step, network included, and surcharges for
+    memory use, pending prefills and remote engines.
 
     Args:
-        engines: Engines that may be used; those still loading are left out.
+        engines: Engines that may be used. Engines that are loading or hold no
+            layers are ignored.
         model: The model.
-        loads: Tokens on each engine.
-        data_centre: Where the entry runs.
-        rng: Breaks ties, so that entries don't all choose alike.
-        first_not: Engines that the path must not begin with.
-        after: First part that is kept, for a path that is changed while its
-            request runs.
+        loads: Load of each engine.
+        data_centre: Data centre of the entry.
+        rng: Source of the random tie-breaks, which keep entries from all
+            choosing the same path.
+        excluded_first: Names of engines with which the path must not begin.
+        after: Part with which the path has to begin, if the path of a running
+            request is changed.
+
+    Returns:
+        The path, or NoPath if the engines leave a coverage gap or the path
+        would have too many parts.
     """
     ready = [e for e in engines if len(e.holds) and not e.loading]
     if after is not None:
         ready = [e for e in ready if e.name != after.engine.name]
-    use = {e.name: loads.use(e, model) for e in ready}
-    weight = {
-        e.name: _weight_ms(use[e.name], rng)
-        + loads.unread(e.name)
-        * model.reading_ms(e.kind, len(e.holds))
-        * _READ_COST
+    use = {e.name: loads.memory_use(e, model) for e in ready}
+    cost_ms = {
+        e.name: _memory_cost_ms(use[e.name], rng)
+        + loads.pending_prefills(e.name)
+        * model.prefill_time_ms(e.kind, len(e.holds))
+        * _PREFILL_QUEUE_FACTOR
         for e in ready
     }
     layer_ms = model.step_ms / model.layers
-    crossing_ms = model.crossing_ms * _CROSSING_QUEUE
+    transfer_ms = model.transfer_ms * _LINK_QUEUE_FACTOR
     start = after.layers.end if after else 0
     origin = after.engine.data_centre if after else data_centre
     queue: list[tuple[float, int, int, Engine | None]] = [
@@ -137,53 +148,54 @@
     ]
     came_from: dict[tuple[int, str], tuple[tuple[int, str], Engine]] = {}
     best: dict[tuple[int, str], float] = {(start, origin): 0.0}
-    order = 0
+    sequence = 0
     farthest = start
     while queue:
         cost, _, layer, last = heapq.heappop(queue)
-        place = last.data_centre if last else data_centre
-        if best.get((layer, place), cost) < cost:
+        location = last.data_centre if last else data_centre
+        if best.get((layer, location), cost) < cost:
             continue
         if layer == model.layers:
-            return _trace(came_from, (layer, place), use, after)
+            return _trace(came_from, (layer, location), use, after)
         farthest = max(farthest, layer)
         for engine in ready:
             if layer not in engine.holds:
                 continue
-            if last is None and engine.name in first_not:
+            if last is None and engine.name in excluded_first:
                 continue
             end = engine.holds.end
-            step = (end - layer) * layer_ms * engine.kind.step_pace
-            step += HOP_MS + weight[engine.name]
-            if engine.data_centre != place:
-                step += crossing_ms if last else _AWAY_MS
+            edge_ms = (end - layer) * layer_ms * engine.kind.step_time_factor
+            edge_ms += HOP_MS + cost_ms[engine.name]
+            if engine.data_centre != location:
+                edge_ms += transfer_ms if last else _REMOTE_START_MS
             key = (end, engine.data_centre)
-            if cost + step < best.get(key, float("inf")):
-                best[key] = cost + step
-                came_from[key] = ((layer, place), engine)
-                order += 1
-                heapq.heappush(queue, (cost + step, order, end, engine))
+            if cost + edge_ms < best.get(key, float("inf")):
+                best[key] = cost + edge_ms
+                came_from[key] = ((layer, location), engine)
+                sequence += 1
+                heapq.heappush(queue, (cost + edge_ms, sequence, end, engine))
     return NoPath(farthest)
 
 
-def _weight_ms(use: float, rng: random.Random) -> float:
-    weight = use * _USE_MS + rng.random() * 0.3
-    if use > _CROWDED:
-        weight += (use - _CROWDED) * _CROWDED_MS
-    return weight
+def _memory_cost_ms(use: float, rng: random.Random) -> float:
+    cost_ms = use * _MEMORY_USE_MS + rng.random() * 0.3
+    if use > _HIGH_USE:
+        cost_ms += (use - _HIGH_USE) * _HIGH_USE_MS
+    return cost_ms
 
 
 def _trace(came_from, key, use, after: PathPart | None) -> Path | NoPath:
+    """Returns the path that ends at a key of `came_from`."""
     start = after.layers.end if after else 0
     parts = []
     while key[0] > start:
-        earlier, engine = came_from[key]
-        parts.append(PathPart(engine, LayerRange(earlier[0], key[0])))
-        key = earlier
+        previous, engine = came_from[key]
+        parts.append(PathPart(engine, LayerRange(previous[0], key[0])))
+        key = previous
     if after is not None:
         parts.append(after)
     parts.reverse()
-    if len(parts) > _MOST_PARTS:
-        return NoPath(parts[_MOST_PARTS].layers.first)
-    highest = max(use.get(part.engine.name, 0.0) for part in parts)
-    return Path(tuple(parts), highest)
+    if len(parts) > _MAX_PARTS:
+        return NoPath(parts[_MAX_PARTS].layers.first)
+    max_use = max(use.get(part.engine.name, 0.0) for part in parts)
+    return Path(tuple(parts), max_use)
--- a/caroblug/core/placement/_planner.py
+++ b/caroblug/core/placement/_planner.py
@@ -1,143 +1,158 @@
-"""Orders that bring every data centre to whole chains of layers.
+"""Plans which engine holds which layers, so that chains cover the model.
 
-The plan is computed from what engines hold now, so that whoever computes it
-next comes to the same one: nothing of it has to be kept or handed over. It
-moves as little as it can, because a load takes seconds during which the layers
-answer nobody.
+A plan gives every data centre at least one whole chain of layers, as far as
+its engines suffice. It depends only on what engines hold now, so that the next
+gateway to compute it arrives at the same plan, and nothing has to be stored or
+handed over. It moves as few engines as possible, because a load takes seconds
+during which the engine does not serve.
 
 References:
     Borzunov et al., "Petals", 2023, and Ryabinin et al., "SWARM Parallelism",
-    2023: engines without work go where the cover is thinnest.
+    2023: idle engines are assigned to the layers with the fewest holders.
 """
 
 import attrs
 
-from caroblug.core.placement._keepers import Keepers
+from caroblug.core.placement._serving_engines import ServingEngines
 from caroblug.core.placement._types import Engine, LayerRange, ModelShape
 
-STREAMS_PER_CHAIN = 40
-"""Requests of usual size for which a chain keeps room beside its weights.
+DEFAULT_REQUESTS_PER_CHAIN = 40
+"""Requests of mean length for which a chain reserves KV cache by default.
 
-A chain is made of the fastest engines, as full as this allows, and the others
-hold its layers a second time. More room makes longer, slower chains and leaves
-fewer second holders; less is used up when one data centre takes on another
-one's streams.
+A chain consists of the fastest engines, each with as many layers as this
+reserve allows. The other engines hold the same layers as replicas. A larger
+reserve makes chains longer and slower and leaves fewer replicas; a smaller one
+runs out when a data centre takes over the streams of another.
 """
 
-_MOST_STREAMS_PER_CHAIN = 60
-_STREAMS_PER_GATEWAY = 7
-"""The same for each gateway of a data centre where there are many: entries are
-as many as traffic needs, and nothing else is known of it at a first start."""
+_MAX_REQUESTS_PER_CHAIN = 60
+_REQUESTS_PER_GATEWAY = 7
+"""Requests to reserve for per gateway of a data centre, between the default
+and the maximum. The number of gateways follows the traffic, and at a first
+start nothing else is known about the traffic."""
 
 HOP_MS = 0.5
-"""Time that one more engine on the path adds to a token: the delay of the
-link and the wait for the engine's pass."""
+"""Time that each further engine on a path adds to a token: the network delay
+and the wait for the engine's next forward pass."""
 
-_GROWN_STREAMS = 40
-"""Requests for which an engine keeps room when it grows into a hole:
-everybody's path leads over it then."""
+_EXTENDED_REQUESTS = 40
+"""Requests for which an engine reserves KV cache when it is extended into a
+coverage gap: all paths then lead through it."""
 
-_TIGHT_STREAMS = 6
-"""The same where a hole has no other filler."""
+_MIN_REQUESTS = 6
+"""Requests for which an engine reserves KV cache when a coverage gap can't be
+closed otherwise."""
 
 
 @attrs.frozen
 class Move:
-    """An engine that is to hold other layers.
+    """Assignment of an engine to other layers than it holds.
 
     Attributes:
-        engine: The engine as it was when the plan was made.
-        target: Layers it is to hold.
-        urgent: Whether it brings a layer that no engine of its data centre
-            holds, so that all requests there go elsewhere. Work that passes
-            through layers which are given up is then not waited for: that
-            takes seconds, in which other data centres run out of memory.
-        keepers: Engines that go on serving the layers that are given up.
+        engine: The engine in its state when the plan was computed.
+        target: Layers that it is to hold.
+        urgent: Whether the move adds a layer that no engine of its data centre
+            serves, so that all requests there go to other data centres. An
+            urgent move does not wait for requests that run through the layers
+            given up: the wait takes seconds, in which the other data centres
+            run out of memory.
+        remaining_holders: Engines that continue to serve the layers given up.
     """
 
     engine: Engine
     target: LayerRange
     urgent: bool = False
-    keepers: tuple[Engine, ...] = ()
+    remaining_holders: tuple[Engine, ...] = ()
 
 
 @attrs.define
-class _Seat:
-    """An engine, and the range that the plan gives it."""
+class _Assignment:
+    """An engine and the layers that the plan assigns to it.
+
+    Attributes:
+        engine: The engine.
+        target: Layers assigned to it; at first those that it holds.
+        used: Whether the plan already uses the engine.
+    """
 
     engine: Engine
     target: LayerRange
     used: bool = False
 
     @property
-    def moved(self) -> bool:
+    def changed(self) -> bool:
         return self.target != self.engine.holds
 
     @property
-    def free(self) -> bool:
+    def available(self) -> bool:
         return not self.used and not self.engine.loading
 
     @property
-    def empty(self) -> bool:
-        return self.free and len(self.target) == 0
+    def unassigned(self) -> bool:
+        return self.available and len(self.target) == 0
 
-    def most(self, model: ModelShape, streams: int) -> int:
-        """Returns how many layers fit beside `streams` requests."""
-        return model.most_layers(self.engine.kind, streams)
+    def max_layers(self, model: ModelShape, requests: int) -> int:
+        """Returns how many layers fit beside the KV cache of `requests`."""
+        return model.max_layers(self.engine.kind, requests)
 
 
-def chain_room(gateways: int, data_centres: int) -> int:
-    """Returns the requests of usual size that a chain keeps room for.
+def compute_requests_per_chain(gateways: int, data_centres: int) -> int:
+    """Returns for how many requests of mean length a chain reserves KV cache.
 
     Args:
-        gateways: Gateways that send to the engines; 0 if unknown.
-        data_centres: Data centres with engines.
+        gateways: Number of gateways that send to the engines; 0 if unknown.
+        data_centres: Number of data centres with engines.
     """
-    here = gateways / max(1, data_centres)
-    wanted = int(here * _STREAMS_PER_GATEWAY)
-    return min(_MOST_STREAMS_PER_CHAIN, max(STREAMS_PER_CHAIN, wanted))
+    per_data_centre = gateways / max(1, data_centres)
+    wanted = int(per_data_centre * _REQUESTS_PER_GATEWAY)
+    return min(_MAX_REQUESTS_PER_CHAIN, max(DEFAULT_REQUESTS_PER_CHAIN, wanted))
 
 
 def plan_moves(
     engines: list[Engine],
     model: ModelShape,
-    room: int = STREAMS_PER_CHAIN,
+    requests_per_chain: int = DEFAULT_REQUESTS_PER_CHAIN,
 ) -> list[Move]:
-    """Returns the moves that are missing.
+    """Returns the moves that turn the held layers into the planned ones.
 
     Args:
-        engines: Engines that live and stay; one that leaves is left out, so
-            that its layers are placed again while it still serves.
+        engines: Live engines. Draining engines are omitted, so that their
+            layers are assigned to others while they still serve.
         model: The model.
-        room: Requests of usual size that a chain keeps room for.
+        requests_per_chain: Requests of mean length for which a chain reserves
+            KV cache.
     """
-    engines = sorted(engines, key=lambda e: _by_speed(e, model))
-    seats = [_Seat(e, e.holds) for e in engines]
+    engines = sorted(engines, key=lambda e: _layer_time_key(e, model))
+    assignments = [_Assignment(e, e.holds) for e in engines]
     missing = {}
-    keepers = {}
+    serving = {}
     for data_centre in sorted({e.data_centre for e in engines}):
-        local = [s for s in seats if s.engine.data_centre == data_centre]
+        local = [a for a in assignments if a.engine.data_centre == data_centre]
         missing[data_centre] = _missing_layers(engines, data_centre, model)
-        keepers[data_centre] = _plan_data_centre(local, model, room)
+        serving[data_centre] = _plan_data_centre(
+            local, model, requests_per_chain
+        )
     return [
         _make_move(
-            seat,
-            missing[seat.engine.data_centre],
-            keepers[seat.engine.data_centre],
+            assignment,
+            missing[assignment.engine.data_centre],
+            serving[assignment.engine.data_centre],
         )
-        for seat in seats
-        if seat.moved
+        for assignment in assignments
+        if assignment.changed
     ]
 
 
-def _make_move(seat: _Seat, missing: set[int], keepers: Keepers) -> Move:
-    urgent = any(layer in seat.target for layer in missing)
-    replacing = keepers.replacing(seat.engine, seat.target)
-    return Move(seat.engine, seat.target, urgent, replacing)
+def _make_move(
+    assignment: _Assignment, missing: set[int], serving: ServingEngines
+) -> Move:
+    urgent = any(layer in assignment.target for layer in missing)
+    holders = serving.remaining_holders(assignment.engine, assignment.target)
+    return Move(assignment.engine, assignment.target, urgent, holders)
 
 
-def covers(engines: list[Engine], model: ModelShape) -> bool:
-    """Returns whether engines hold every layer of a model between them."""
+def covers_model(engines: list[Engine], model: ModelShape) -> bool:
+    """Returns whether engines together hold every layer of a model."""
     return all(
         any(layer in e.holds for e in engines) for layer in range(model.layers)
     )
@@ -146,7 +161,7 @@
 def _missing_layers(
     engines: list[Engine], data_centre: str, model: ModelShape
 ) -> set[int]:
-    """Returns the layers that no engine of a data centre holds."""
+    """Returns the layers that no engine of a data centre serves."""
     local = [e for e in engines if e.data_centre == data_centre]
     return {
         layer
@@ -155,246 +170,305 @@
     }
 
 
-def _by_speed(engine: Engine, model: ModelShape) -> tuple[float, str]:
-    """Orders engines by the time that a layer costs there, hop included."""
-    most = model.most_layers(engine.kind, STREAMS_PER_CHAIN)
-    layer_ms = model.step_ms / model.layers * engine.kind.step_pace
-    return (layer_ms + HOP_MS / max(1, most), engine.name)
+def _layer_time_key(engine: Engine, model: ModelShape) -> tuple[float, str]:
+    """Returns a sort key by the time of one layer, with its part of a hop."""
+    width = model.max_layers(engine.kind, DEFAULT_REQUESTS_PER_CHAIN)
+    layer_ms = model.step_ms / model.layers * engine.kind.step_time_factor
+    return (layer_ms + HOP_MS / max(1, width), engine.name)
 
 
 def _plan_data_centre(
-    seats: list[_Seat], model: ModelShape, room: int
-) -> Keepers:
-    """Gives the engines of a data centre their targets.
+    assignments: list[_Assignment], model: ModelShape, requests_per_chain: int
+) -> ServingEngines:
+    """Assigns layers to the engines of a data centre.
 
     Returns:
-        The engines that stay as they are.
+        The engines that serve their layers while the plan is carried out.
     """
-    keepers = Keepers([seat.engine for seat in seats])
-    chains, streams = _size_chains(seats, model, room)
-    grown = min(streams, _GROWN_STREAMS)
-    holes = _sweep(seats, model.layers)
-    holes = _fill(_empty(seats), holes, model, streams, keepers)
-    holes = _grow(seats, holes, model, grown, keepers)
-    holes = _fill(seats, holes, model, streams, keepers)
-    holes = _grow(seats, holes, model, _TIGHT_STREAMS, keepers)
-    _fill(seats, holes, model, _TIGHT_STREAMS, keepers)
+    serving = ServingEngines([assignment.engine for assignment in assignments])
+    chains, requests = _size_chains(assignments, model, requests_per_chain)
+    extended_requests = min(requests, _EXTENDED_REQUESTS)
+    gaps = _select_chain(assignments, model.layers)
+    gaps = _fill_gaps(_unassigned(assignments), gaps, model, requests, serving)
+    gaps = _extend_neighbours(
+        assignments, gaps, model, extended_requests, serving
+    )
+    gaps = _fill_gaps(assignments, gaps, model, requests, serving)
+    gaps = _extend_neighbours(assignments, gaps, model, _MIN_REQUESTS, serving)
+    _fill_gaps(assignments, gaps, model, _MIN_REQUESTS, serving)
     for _ in range(1, chains):
-        holes = _sweep(seats, model.layers)
-        _fill(_empty(seats), holes, model, streams, keepers)
-    _use_the_empty(seats, model, streams)
-    return keepers
+        gaps = _select_chain(assignments, model.layers)
+        _fill_gaps(_unassigned(assignments), gaps, model, requests, serving)
+    _assign_replicas(assignments, model, requests)
+    return serving
 
 
 def _size_chains(
-    seats: list[_Seat], model: ModelShape, room: int
+    assignments: list[_Assignment], model: ModelShape, requests_per_chain: int
 ) -> tuple[int, int]:
-    """Returns how many whole chains fit, and the room each one has.
+    """Returns how many whole chains fit, and how many requests each can run.
 
     Returns:
-        Number of chains, one at least, and requests of usual size.
+        Number of chains, at least one, and the largest number of requests of
+        mean length, up to `requests_per_chain`, with which they fit.
     """
-    held = _layers_held(seats, model, room)
+    held = _total_layers(assignments, model, requests_per_chain)
     chains = max(1, held // model.layers)
-    low, high = _TIGHT_STREAMS, room
+    low, high = _MIN_REQUESTS, requests_per_chain
     while low < high:
         middle = (low + high + 1) // 2
-        if _layers_held(seats, model, middle) >= chains * model.layers:
+        if _total_layers(assignments, model, middle) >= chains * model.layers:
             low = middle
         else:
             high = middle - 1
     return chains, low
 
 
-def _layers_held(seats: list[_Seat], model: ModelShape, streams: int) -> int:
-    return sum(seat.most(model, streams) for seat in seats)
+def _total_layers(
+    assignments: list[_Assignment], model: ModelShape, requests: int
+) -> int:
+    return sum(
+        assignment.max_layers(model, requests) for assignment in assignments
+    )
 
 
-def _sweep(seats: list[_Seat], layers: int) -> list[LayerRange]:
-    """Marks the fewest engines that reach from layer to layer.
+def _select_chain(
+    assignments: list[_Assignment], layers: int
+) -> list[LayerRange]:
+    """Marks as used the fewest engines that together cover the layers.
 
     Returns:
-        What no engine that is not in use yet holds.
+        Coverage gaps: layers that no unused engine holds.
     """
-    holes = []
+    gaps = []
     layer = 0
     while layer < layers:
-        holders = [s for s in seats if not s.used and layer in s.target]
+        holders = [a for a in assignments if not a.used and layer in a.target]
         if holders:
-            best = max(holders, key=lambda s: (s.target.end, s.engine.name))
+            best = max(holders, key=lambda a: (a.target.end, a.engine.name))
             best.used = True
             layer = best.target.end
             continue
-        ahead = [s.target.first for s in seats if _begins(s, layer)]
+        ahead = [a.target.first for a in assignments if _starts_after(a, layer)]
         end = min(ahead, default=layers)
-        holes.append(LayerRange(layer, end))
+        gaps.append(LayerRange(layer, end))
         layer = end
-    return holes
+    return gaps
 
 
-def _begins(seat: _Seat, layer: int) -> bool:
-    return not seat.used and len(seat.target) > 0 and seat.target.first > layer
+def _starts_after(assignment: _Assignment, layer: int) -> bool:
+    return (
+        not assignment.used
+        and len(assignment.target) > 0
+        and assignment.target.first > layer
+    )
 
 
-def _fill(
-    candidates: list[_Seat],
-    holes: list[LayerRange],
+def _fill_gaps(
+    candidates: list[_Assignment],
+    gaps: list[LayerRange],
     model: ModelShape,
-    streams: int,
-    keepers: Keepers,
+    requests: int,
+    serving: ServingEngines,
 ) -> list[LayerRange]:
-    """Gives holes to free engines whose layers others keep, empty ones first.
+    """Assigns available engines to gaps, engines without layers first.
 
-    Guards against breaking a chain to mend another hole. Each engine is looked
-    at after those before it have been sent away: two that hold the same layers
-    would otherwise each pass for the other's keeper.
+    An engine that is the only one to serve a layer stays, so that closing one
+    gap does not open another. Each engine is checked after the ones before it
+    have been reassigned: of two engines with the same layers, each would
+    otherwise count as the remaining holder for the other.
 
     Returns:
-        What is left of the holes.
+        The remaining gaps.
     """
-    left = []
-    for hole in holes:
-        layer = hole.first
-        for seat in sorted(candidates, key=lambda s: len(s.target) > 0):
-            if layer >= hole.end:
+    remaining = []
+    for gap in gaps:
+        layer = gap.first
+        for assignment in sorted(candidates, key=lambda a: len(a.target) > 0):
+            if layer >= gap.end:
                 break
-            if not seat.free or not keepers.may_give_up(seat.engine):
+            if not assignment.available or not serving.can_reassign(
+                assignment.engine
+            ):
                 continue
-            layer = _take(seat, LayerRange(layer, hole.end), model, streams)
-            if seat.used:
-                keepers.on_given_up(seat.engine)
-        if layer < hole.end:
-            left.append(LayerRange(layer, hole.end))
-    return left
-
-
-def _take(
-    seat: _Seat, hole: LayerRange, model: ModelShape, streams: int
+            layer = _assign_start(
+                assignment, LayerRange(layer, gap.end), model, requests
+            )
+            if assignment.used:
+                serving.on_reassigned(assignment.engine)
+        if layer < gap.end:
+            remaining.append(LayerRange(layer, gap.end))
+    return remaining
+
+
+def _assign_start(
+    assignment: _Assignment, gap: LayerRange, model: ModelShape, requests: int
 ) -> int:
-    """Gives an engine as much of the begin of a hole as it has room for.
+    """Assigns an engine to as many layers at the start of a gap as fit.
 
     Returns:
-        Where the rest of the hole begins.
+        First layer of the remaining gap.
     """
-    end = min(hole.end, hole.first + seat.most(model, streams))
-    if end > hole.first:
-        seat.target = LayerRange(hole.first, end)
-        seat.used = True
+    end = min(gap.end, gap.first + assignment.max_layers(model, requests))
+    if end > gap.first:
+        assignment.target = LayerRange(gap.first, end)
+        assignment.used = True
     return end
 
 
-def _grow(
-    seats: list[_Seat],
-    holes: list[LayerRange],
+def _extend_neighbours(
+    assignments: list[_Assignment],
+    gaps: list[LayerRange],
     model: ModelShape,
-    streams: int,
-    keepers: Keepers,
+    requests: int,
+    serving: ServingEngines,
 ) -> list[LayerRange]:
-    """Lets engines beside holes grow into them.
+    """Extends engines whose layers adjoin a gap into the gap.
 
-    They keep what they hold, so that nothing has to pass through first, and
-    only load what is new: a neighbour on either side halves the time.
+    These engines retain their layers, so that no running request has to finish
+    first, and load only the additional ones. Extending one engine from each
+    side halves the load time.
 
     Returns:
-        What is left of the holes.
+        The remaining gaps.
     """
-    left = []
-    for hole in holes:
-        first, end = hole.first, hole.end
+    remaining = []
+    for gap in gaps:
+        first, end = gap.first, gap.end
         before = _choose_neighbour(
-            [s for s in seats if s.target.end == first], model, streams, keepers
+            [a for a in assignments if a.target.end == first],
+            model,
+            requests,
+            serving,
         )
         after = _choose_neighbour(
-            [s for s in seats if s.target.first == end], model, streams, keepers
+            [a for a in assignments if a.target.first == end],
+            model,
+            requests,
+            serving,
         )
         half = (end - first + 1) // 2 if before and after else end - first
         if before is not None:
-            taken = min(_spare(before, model, streams), half)
+            taken = min(_free_layers(before, model, requests), half)
             before.target = LayerRange(before.target.first, first + taken)
             first += taken
         if after is not None:
-            taken = min(_spare(after, model, streams), end - first)
+            taken = min(_free_layers(after, model, requests), end - first)
             after.target = LayerRange(end - taken, after.target.end)
             end -= taken
         if before is not None and first < end:
-            taken = min(_spare(before, model, streams), end - first)
+            taken = min(_free_layers(before, model, requests), end - first)
             before.target = LayerRange(before.target.first, first + taken)
             first += taken
         if first < end:
-            left.append(LayerRange(first, end))
-    return left
+            remaining.append(LayerRange(first, end))
+    return remaining
 
 
 def _choose_neighbour(
-    beside: list[_Seat], model: ModelShape, streams: int, keepers: Keepers
-) -> _Seat | None:
-    """Chooses the engine beside a hole that can grow most, if any can.
+    adjoining: list[_Assignment],
+    model: ModelShape,
+    requests: int,
+    serving: ServingEngines,
+) -> _Assignment | None:
+    """Chooses the adjoining engine with memory for the most further layers.
+
+    The chosen engine no longer counts as serving, because it will load.
 
-    It loads then, so that others can't rely on it.
+    Returns:
+        The engine, or None if none can be extended.
     """
-    able = [
-        s
-        for s in beside
-        if len(s.target)
-        and not s.engine.loading
-        and _spare(s, model, streams) > 0
-        and keepers.may_load(s.engine)
+    extensible = [
+        a
+        for a in adjoining
+        if len(a.target)
+        and not a.engine.loading
+        and _free_layers(a, model, requests) > 0
+        and serving.can_extend(a.engine)
     ]
-    if not able:
+    if not extensible:
         return None
-    best = max(able, key=lambda s: (_spare(s, model, streams), s.engine.name))
-    keepers.on_loading(best.engine)
+    best = max(
+        extensible,
+        key=lambda a: (_free_layers(a, model, requests), a.engine.name),
+    )
+    serving.on_extended(best.engine)
     return best
 
 
-def _spare(seat: _Seat, model: ModelShape, streams: int) -> int:
-    return max(0, seat.most(model, streams) - len(seat.target))
+def _free_layers(
+    assignment: _Assignment, model: ModelShape, requests: int
+) -> int:
+    return max(
+        0, assignment.max_layers(model, requests) - len(assignment.target)
+    )
 
 
-def _empty(seats: list[_Seat]) -> list[_Seat]:
-    """Returns engines that hold nothing and are given nothing yet."""
-    return [seat for seat in seats if seat.empty]
+def _unassigned(assignments: list[_Assignment]) -> list[_Assignment]:
+    """Returns engines that neither hold layers nor have any assigned."""
+    return [assignment for assignment in assignments if assignment.unassigned]
 
 
-def _use_the_empty(seats: list[_Seat], model: ModelShape, streams: int) -> None:
-    """Gives engines that hold nothing the layers that need one more holder.
+def _assign_replicas(
+    assignments: list[_Assignment], model: ModelShape, requests: int
+) -> None:
+    """Assigns unassigned engines as replicas to the layers that gain most.
 
-    A layer that one more engine holds can be served at once when a holder
-    dies, without waiting for a load. A fast engine goes where only slow ones
-    are: one that comes back after a crash takes its old place again.
+    A layer with a replica stays available when a holder dies, without waiting
+    for a load. A fast engine is assigned to layers that only slow ones hold:
+    after a crash and a restart it takes over its previous layers again.
     """
-    for seat in seats:
-        most = seat.most(model, streams)
-        if not seat.empty or most < 1:
+    for assignment in assignments:
+        width = assignment.max_layers(model, requests)
+        if not assignment.unassigned or width < 1:
             continue
-        first = _neediest(seats, seat, most, model)
-        seat.target = LayerRange(first, first + most)
-        seat.used = True
+        first = _choose_first_layer(assignments, assignment, width, model)
+        assignment.target = LayerRange(first, first + width)
+        assignment.used = True
 
 
-def _neediest(
-    seats: list[_Seat], seat: _Seat, width: int, model: ModelShape
+def _choose_first_layer(
+    assignments: list[_Assignment],
+    assignment: _Assignment,
+    width: int,
+    model: ModelShape,
 ) -> int:
-    """Returns where a range of `width` layers on an engine helps most."""
-    needs = [_need(seats, seat, layer, model) for layer in range(model.layers)]
+    """Returns the first layer of the range that gains most from an engine.
+
+    Args:
+        assignments: Engines with the layers assigned so far.
+        assignment: The engine to assign.
+        width: Number of layers in the range.
+        model: The model.
+    """
+    values = [
+        _replica_value(assignments, assignment, layer, model)
+        for layer in range(model.layers)
+    ]
     sums = [
-        (-sum(needs[first : first + width]), first)
-        for first in range(len(needs) - width + 1)
+        (-sum(values[first : first + width]), first)
+        for first in range(len(values) - width + 1)
     ]
     return min(sums)[1]
 
 
-def _need(
-    seats: list[_Seat], seat: _Seat, layer: int, model: ModelShape
+def _replica_value(
+    assignments: list[_Assignment],
+    assignment: _Assignment,
+    layer: int,
+    model: ModelShape,
 ) -> float:
-    """Returns what a layer gains from one more holder, 1 for its second one.
+    """Returns what a layer gains from one more holder.
 
-    Each further holder is worth half of the one before; speed counts beside
-    it, as the share of the fastest holder's time that is saved.
+    The first holder is worth 2, the second one 1 and each further one half of
+    the one before. To this is added the share of the fastest holder's time
+    that the engine saves.
     """
-    holders = [s.engine for s in seats if layer in s.target]
+    holders = [a.engine for a in assignments if layer in a.target]
     if not holders:
         return 2.0
-    pace = min(e.kind.step_pace for e in holders)
-    saved = max(0.0, pace - seat.engine.kind.step_pace) / pace
+    fastest = min(e.kind.step_time_factor for e in holders)
+    saved = (
+        max(0.0, fastest - assignment.engine.kind.step_time_factor) / fastest
+    )
     return 2.0 ** (1 - len(holders)) + saved
--- a/caroblug/core/placement/tests/fleets.py
+++ b/caroblug/core/placement/tests/fleets.py
@@ -1,4 +1,4 @@
-"""Fleets for tests: two sites' worth of mixed accelerators."""
+"""Fleets of engines on mixed accelerators, for tests."""
 
 from caroblug.core.placement import (
     Engine,
@@ -16,7 +16,7 @@
     layer_mb=1750.0,
     kv_mb=0.01065,
     step_ms=0.85,
-    usual_tokens=917,
+    mean_request_tokens=917,
     kinds={kind.name: kind for kind in (BIG, MIDDLE, SMALL)},
     load_s=14.0,
 )
@@ -26,7 +26,11 @@
     "b": (1, 7, 5),
     "c": (2, 3, 5),
 }
-"""Engines of each kind by data centre: 38 in all, 4.2 covers of the model."""
+"""Number of big, middle and small engines by data centre.
+
+With KV cache reserved for 40 requests per chain, the 38 engines have memory for
+4.2 copies of the model.
+"""
 
 
 def make_engine(
@@ -37,7 +41,7 @@
     end: int = 0,
     loading: bool = False,
 ) -> Engine:
-    """Returns an engine that holds layers `first` to `end`."""
+    """Returns an engine that holds the layers from `first` up to `end`."""
     number = sum(map(ord, name)) % 60000
     return Engine(
         name,
@@ -50,7 +54,7 @@
 
 
 def make_fleet() -> list[Engine]:
-    """Returns the engines of three data centres, all empty."""
+    """Returns the engines of three data centres, none of which holds layers."""
     engines = []
     for data_centre, counts in DATA_CENTRES.items():
         for kind, count in zip((BIG, MIDDLE, SMALL), counts, strict=True):
@@ -61,8 +65,8 @@
     return engines
 
 
-def carry_out(engines: list[Engine], moves) -> list[Engine]:
-    """Returns the engines after orders have been carried out."""
+def apply_moves(engines: list[Engine], moves) -> list[Engine]:
+    """Returns the engines after moves have been carried out."""
     targets = {move.engine.name: move.target for move in moves}
     return [
         make_engine(
--- a/caroblug/core/placement/tests/test_paths.py
+++ b/caroblug/core/placement/tests/test_paths.py
@@ -1,4 +1,4 @@
-"""Paths: whole, in order, cheap, and around what may not be used."""
+"""Tests of the choice of paths and of the engine loads it uses."""
 
 import random
 
@@ -18,37 +18,38 @@
 from caroblug.core.placement.tests.fleets import (
     BIG,
     MODEL,
-    carry_out,
+    apply_moves,
     make_engine,
     make_fleet,
 )
 
 
-def choose(engines, loads=None, data_centre="a", seed=1, **more):
+def choose(engines, loads=None, data_centre="a", seed=1, **options):
     return choose_path(
         engines,
         MODEL,
         loads or EngineLoads(),
         data_centre,
         random.Random(seed),
-        **more,
+        **options,
     )
 
 
-def planned():
-    return carry_out(make_fleet(), plan_moves(make_fleet(), MODEL))
+def make_planned_fleet():
+    return apply_moves(make_fleet(), plan_moves(make_fleet(), MODEL))
 
 
-def test_calm_path_stays_in_the_entrys_data_centre():
+def test_path_stays_in_the_entrys_data_centre_at_low_load():
     for data_centre in "abc":
-        path = choose(planned(), data_centre=data_centre)
+        path = choose(make_planned_fleet(), data_centre=data_centre)
 
         assert {p.engine.data_centre for p in path.parts} == {data_centre}
 
 
-def test_broken_data_centre_is_left_for_another_whole_one():
-    # Guards against crossings in a path while another data centre has it whole.
-    engines = [e for e in planned() if e.name != "c-big-0"]
+def test_path_leaves_data_centre_with_a_coverage_gap():
+    # Guards against paths over several data centres while another one has a
+    # whole chain.
+    engines = [e for e in make_planned_fleet() if e.name != "c-big-0"]
 
     path = choose(engines, data_centre="c")
 
@@ -56,22 +57,22 @@
     assert path.first.data_centre != "c"
 
 
-def test_thin_link_is_not_crossed_while_a_whole_chain_has_room():
-    # Guards against streams that stand still as prompts fill a thin link.
-    model = attrs.evolve(MODEL, crossing_ms=97.0)
-    engines = [e for e in planned() if e.name != "c-big-0"]
+def test_slow_link_is_not_crossed_while_a_chain_has_free_tokens():
+    # Guards against streams that stall while prompts fill a slow link.
+    model = attrs.evolve(MODEL, transfer_ms=97.0)
+    engines = [e for e in make_planned_fleet() if e.name != "c-big-0"]
     loads = EngineLoads()
     for engine in engines:
         if engine.data_centre != "c":
-            room = model.token_room(engine.kind, len(engine.holds))
-            loads.open((engine.name,), int(0.9 * room))
+            capacity = model.token_capacity(engine.kind, len(engine.holds))
+            loads.add_request((engine.name,), int(0.9 * capacity))
 
     path = choose_path(engines, model, loads, "c", random.Random(1))
 
-    assert not path.crosses
+    assert not path.crosses_data_centres
 
 
-def test_part_may_be_cut_from_a_longer_range():
+def test_part_may_use_some_of_an_engines_layers():
     engines = [
         make_engine("x", BIG, first=0, end=50),
         make_engine("y", BIG, first=30, end=80),
@@ -85,7 +86,7 @@
     ]
 
 
-def test_missing_layer_is_named():
+def test_no_path_reports_the_missing_layer():
     engines = [
         make_engine("x", BIG, first=0, end=20),
         make_engine("y", BIG, first=21, end=80),
@@ -94,27 +95,27 @@
     assert choose(engines) == NoPath(20)
 
 
-def test_engine_that_loads_is_on_no_path():
+def test_loading_engine_is_not_used():
     engines = [make_engine("x", BIG, first=0, end=80, loading=True)]
 
     assert isinstance(choose(engines), NoPath)
 
 
-def test_crowded_engines_are_passed_by():
-    # Guards against preemption on the fastest chain while another one idles.
+def test_engine_with_high_memory_use_is_avoided():
+    # Guards against preemption on the fastest chain while another chain idles.
     engines = [
         make_engine("x", BIG, first=0, end=16),
         make_engine("x2", BIG, first=0, end=16),
         make_engine("y", BIG, first=16, end=80),
     ]
     loads = EngineLoads()
-    room = MODEL.token_room(BIG, 16)
-    loads.open(("x",), int(room * 0.9))
+    capacity = MODEL.token_capacity(BIG, 16)
+    loads.add_request(("x",), int(capacity * 0.9))
 
     assert choose(engines, loads).names == ("x2", "y")
 
 
-def test_kept_first_part_stays_and_the_rest_is_chosen_anew():
+def test_first_part_is_retained_when_the_rest_is_chosen_again():
     engines = [
         make_engine("x", BIG, first=0, end=40),
         make_engine("y", BIG, first=40, end=80),
@@ -128,23 +129,23 @@
     assert path.names == ("x", "z")
 
 
-def test_first_engine_may_be_excluded_without_leaving_the_path():
+def test_engine_excluded_as_first_may_run_later_layers():
     engines = [
         make_engine("x", BIG, first=0, end=80),
         make_engine("y", BIG, first=0, end=40),
     ]
 
-    assert choose(engines, first_not=frozenset({"x"})).names == ("y", "x")
+    assert choose(engines, excluded_first=frozenset({"x"})).names == ("y", "x")
 
 
 @hypothesis.given(st.sets(st.integers(0, 37), max_size=20), st.integers())
-def test_paths_are_whole_whatever_is_lost(lost, seed):
-    engines = [e for i, e in enumerate(planned()) if i not in lost]
+def test_path_is_whole_or_a_layer_is_missing_after_losses(lost, seed):
+    engines = [e for i, e in enumerate(make_planned_fleet()) if i not in lost]
 
     path = choose(engines, seed=seed)
 
     if isinstance(path, Path):
-        # Path itself asserts that no layer is skipped or repeated.
+        # The constructor of Path rejects skipped and repeated layers.
         assert path.parts[-1].layers.end == MODEL.layers
         assert len(set(path.names)) == len(path.names)
     else:
@@ -156,33 +157,34 @@
         assert held != set(range(MODEL.layers))
 
 
-def test_neighbours_that_are_all_heard_are_not_scaled_up():
-    # Guards against load counted three times, which sends streams far away.
+def test_load_is_not_scaled_up_if_all_local_gateways_report():
+    # Guards against local load counted three times, which sends streams to
+    # remote data centres.
     loads = EngineLoads()
     loads.gateways = 26
-    loads.neighbours = 6
-    loads.open(("x",), 100)
+    loads.local_gateways = 6
+    loads.add_request(("x",), 100)
     for number in range(5):
-        loads.hear(f"near{number}", {"x": 100.0})
+        loads.update_peer(f"local{number}", {"x": 100.0})
     for number in range(3):
-        loads.hear(f"far{number}", {"y": 10.0}, near=False)
+        loads.update_peer(f"remote{number}", {"y": 10.0}, local=False)
 
     assert loads.tokens("x") == 600
     assert loads.tokens("y") == 30 * 20 / 3
 
 
-def test_loads_of_gateways_that_are_not_heard_are_scaled_up():
+def test_load_is_scaled_up_for_gateways_that_do_not_report():
     loads = EngineLoads()
     loads.gateways = 4
-    loads.open(("x",), 100)
-    loads.hear("other", {"x": 300.0})
+    loads.add_request(("x",), 100)
+    loads.update_peer("other", {"x": 300.0})
 
     assert loads.tokens("x") == 800
 
 
-def test_load_of_a_silent_gateway_is_forgotten():
+def test_load_of_a_removed_gateway_is_not_counted():
     loads = EngineLoads()
-    loads.hear("other", {"x": 300.0})
-    loads.forget("other")
+    loads.update_peer("other", {"x": 300.0})
+    loads.remove_peer("other")
 
     assert loads.tokens("x") == 0
--- a/caroblug/core/placement/tests/test_returning_callers.py
+++ b/caroblug/core/placement/tests/test_returning_callers.py
@@ -1,7 +1,8 @@
-"""Callers who come back all at once, after all gateways were gone.
+"""Tests that simultaneous prompts are spread over chains.
 
-Each gateway sends some requests before it can hear of any other's. Prompts
-wait for each other on the engines of the quickest chain while others idle.
+After a loss of all gateways, callers return at once. Each gateway sends some
+requests before it receives the others' reports. Without spreading, prompts
+queue on the engines of the fastest chain while other engines idle.
 """
 
 import collections
@@ -15,13 +16,15 @@
     MIDDLE,
     MODEL,
     SMALL,
-    carry_out,
+    apply_moves,
     make_engine,
 )
 
 GATEWAYS = 14
-FIRST_EVENT_AIM_MS = 600
-MODEL_READ = attrs.evolve(MODEL, kv_mb=0.0041, read_ms=2.15, read_steps=6)
+FIRST_EVENT_TARGET_MS = 600
+MODEL_WITH_PREFILL = attrs.evolve(
+    MODEL, kv_mb=0.0041, prefill_ms=2.15, prefill_steps=6
+)
 
 
 def make_data_centre():
@@ -32,51 +35,55 @@
         for kind, count in counts
         for i in range(count)
     ]
-    return carry_out(engines, plan_moves(engines, MODEL_READ))
+    return apply_moves(engines, plan_moves(engines, MODEL_WITH_PREFILL))
 
 
-def send(requests_each: int) -> collections.Counter[str]:
-    """Returns the prompts on each engine after each gateway's requests."""
+def count_prompts(requests_per_gateway: int) -> collections.Counter[str]:
+    """Returns the number of prompts on each engine."""
     engines = make_data_centre()
     prompts: collections.Counter[str] = collections.Counter()
     for gateway in range(GATEWAYS):
         loads = EngineLoads()
-        loads.neighbours = GATEWAYS
+        loads.local_gateways = GATEWAYS
         rng = random.Random(gateway)
-        for _ in range(requests_each):
-            path = choose_path(engines, MODEL_READ, loads, "a", rng)
-            loads.begin_reading(path.names)
+        for _ in range(requests_per_gateway):
+            path = choose_path(engines, MODEL_WITH_PREFILL, loads, "a", rng)
+            loads.begin_prefill(path.names)
             prompts.update(path.names)
     return prompts
 
 
-def test_returning_callers_are_spread_over_the_chains():
-    # Guards against first events that wait for the prompts of everybody else.
-    prompts = send(6)
+def test_simultaneous_prompts_are_spread_over_chains():
+    # Guards against first events that wait for all other prompts' prefills.
+    prompts = count_prompts(6)
 
     longest_ms = max(
         prompts[engine.name]
-        * MODEL_READ.reading_ms(engine.kind, len(engine.holds))
+        * MODEL_WITH_PREFILL.prefill_time_ms(engine.kind, len(engine.holds))
         for engine in make_data_centre()
     )
-    assert longest_ms <= FIRST_EVENT_AIM_MS
-
-
-def test_callers_one_by_one_all_take_the_quickest_chain():
-    # Guards against slower chains where nothing waits.
-    first = set(send(1))
-    quickest = choose_path(
-        make_data_centre(), MODEL_READ, EngineLoads(), "a", random.Random(1)
+    assert longest_ms <= FIRST_EVENT_TARGET_MS
+
+
+def test_single_requests_take_the_fastest_chain():
+    # Guards against use of slower chains while no prefills are pending.
+    first = set(count_prompts(1))
+    fastest = choose_path(
+        make_data_centre(),
+        MODEL_WITH_PREFILL,
+        EngineLoads(),
+        "a",
+        random.Random(1),
     )
 
-    assert set(quickest.names) <= first
-    assert len(first) <= len(quickest.names) + 3
+    assert set(fastest.names) <= first
+    assert len(first) <= len(fastest.names) + 3
 
 
-def test_prompt_that_has_been_read_is_counted_no_more():
+def test_finished_prefill_is_no_longer_counted():
     loads = EngineLoads()
-    loads.neighbours = GATEWAYS
-    loads.begin_reading(("x", "y"))
-    loads.end_reading(("x", "y"))
+    loads.local_gateways = GATEWAYS
+    loads.begin_prefill(("x", "y"))
+    loads.end_prefill(("x", "y"))
 
-    assert loads.unread("x") == 0
+    assert loads.pending_prefills("x") == 0
--- a/caroblug/entry/_requests.py
+++ b/caroblug/entry/_requests.py
@@ -1,4 +1,4 @@
-"""Callers' requests: parsed and checked, every mistake named."""
+"""Parsing and validation of completion requests."""
 
 import hashlib
 import secrets
@@ -8,7 +8,7 @@
 import orjson
 
 from caroblug.core.state import Bundle
-from caroblug.entry._door import body_too_large
+from caroblug.entry._request_guard import body_too_large
 from caroblug.entry._streams import StreamRequest
 from caroblug.entry._tokenizer import make_tokenizer
 from caroblug.utils import (
@@ -30,10 +30,10 @@
 
 @attrs.frozen(kw_only=True)
 class Message:
-    """One message of a chat."""
+    """One message of a chat prompt."""
 
-    role: str = text("Who speaks.", high=32)
-    content: str = text("What is said.", low=0, high=10_000_000)
+    role: str = text("Role of the author.", high=32)
+    content: str = text("Text of the message.", low=0, high=10_000_000)
     name: str = ""
 
 
@@ -55,25 +55,34 @@
 
     @property
     def text(self) -> str:
-        """The whole prompt as text."""
+        """The complete prompt as text."""
         if not self.messages:
             return self.prompt
         return "\n".join(f"{m.role}: {m.content}" for m in self.messages)
 
 
 def parse_completion(body: bytes) -> Completion | Refused:
-    """Parses a request body, or says everything that is wrong with it."""
+    """Parses a request body.
+
+    Args:
+        body: The body, expected to be JSON.
+
+    Returns:
+        The completion, or a refusal that lists every problem found.
+    """
     try:
         table: Any = orjson.loads(body)
     except orjson.JSONDecodeError as error:
-        return _bad(f"the body is not JSON: {error}")
+        return _bad_request(f"the body is not JSON: {error}")
     if not isinstance(table, dict):
-        return _bad("the body must be a JSON object")
+        return _bad_request("the body must be a JSON object")
     parsed = structure_table(table, Completion, "body")
     if isinstance(parsed, SettingsRejected):
-        return _bad("; ".join(f"{p.key} {p.message}" for p in parsed.problems))
+        return _bad_request(
+            "; ".join(f"{p.key} {p.message}" for p in parsed.problems)
+        )
     if not parsed.text.strip():
-        return _bad("messages or prompt must hold text")
+        return _bad_request("messages or prompt must contain text")
     return parsed
 
 
@@ -83,13 +92,16 @@
     client_account: str,
     body_bytes: int,
 ) -> StreamRequest | Refused:
-    """Checks a completion against the bundle in force.
+    """Checks a completion against the bundle and builds its stream request.
 
     Args:
         completion: The request.
         bundle: The bundle in force.
-        client_account: Whose request it is.
+        client_account: The account that sent the request.
         body_bytes: Size of its body.
+
+    Returns:
+        The request to run, or a refusal.
     """
     model = bundle.models.get(completion.model)
     if model is None:
@@ -101,10 +113,10 @@
     limits = bundle.limits
     max_tokens = completion.max_completion_tokens or completion.max_tokens
     if max_tokens > limits.max_tokens:
-        return _bad(f"max_tokens must be at most {limits.max_tokens}")
+        return _bad_request(f"max_tokens must be at most {limits.max_tokens}")
     prompt = make_tokenizer(model.vocabulary).encode(completion.text)
     if len(prompt) > limits.prompt_tokens:
-        return _bad(f"the prompt is over {limits.prompt_tokens} tokens")
+        return _bad_request(f"the prompt is over {limits.prompt_tokens} tokens")
     return StreamRequest(
         client_account=client_account,
         weight=bundle.client_accounts[client_account].weight,
@@ -122,14 +134,14 @@
 
 
 def make_fingerprint(client_account: str, service: str, body: bytes) -> str:
-    """Returns what equal requests of an account have in common.
+    """Returns a digest that identical requests of an account share.
 
     Args:
-        client_account: Whose request it is.
+        client_account: The account that sent the request.
         service: Its model or plain service.
-        body: What the engine is given: the prompt, or the call. Settings of
-            the sampling are left out, so that a bad request sent again with
-            another seed is known.
+        body: Input of the engine: the prompt, or the call. Sampling
+            parameters are left out, so that a request that crashes engines
+            is recognised when it is sent again with another seed.
     """
     digest = hashlib.blake2b(digest_size=_FINGERPRINT_BYTES)
     for part in (client_account.encode(), service.encode(), body):
@@ -138,5 +150,5 @@
     return digest.hexdigest()
 
 
-def _bad(message: str) -> Refused:
+def _bad_request(message: str) -> Refused:
     return Refused(RefusalType.BAD_REQUEST, message)
--- a/caroblug/entry/tests/test_subset.py
+++ b/caroblug/entry/tests/test_subset.py
@@ -1,6 +1,6 @@
-"""Which side processes an entry keeps connections with."""
+"""Tests of the selection of side processes to connect to."""
 
-from caroblug.entry._subset import Subset
+from caroblug.entry._subset import SideSubset
 from caroblug.gen.wire import ttypes as wire
 
 _SIZE = 24
@@ -18,47 +18,48 @@
 
 
 def _settle(subset, listed, silent=()):
-    """Connects to what is wanted until nothing new is learnt."""
-    most = 0
+    """Connects to the selected instances over 60 rounds of reports."""
+    max_connected = 0
     for _ in range(60):
-        wanted = subset.wanted(listed)
-        most = max(most, len(wanted))
-        for instance in wanted - set(silent):
+        selected = subset.select(listed)
+        max_connected = max(max_connected, len(selected))
+        for instance in selected - set(silent):
             subset.on_report(_report(int(instance[1:])))
-    return wanted, most
+    return selected, max_connected
 
 
-def test_entry_of_a_large_fleet_keeps_to_its_subset():
-    """An entry's processor time grows with the fleet, not with its callers.
+def test_entry_of_a_large_fleet_connects_to_a_subset():
+    """An entry must not connect to every engine of a large fleet.
 
-    At 780 engines it would hear from all of them five times a second, and
-    each engine from every entry.
+    With 780 engines it would receive a load report from each of them five
+    times a second, and each engine would report to every entry. The entry's
+    processor time would grow with the fleet, not with its callers.
     """
     listed = [f"e{n}" for n in range(780)]
-    subset = Subset("entry-a", _SIZE)
-    wanted, most = _settle(subset, listed)
-    assert len(wanted) <= _SIZE
-    assert most <= _SIZE + 32
-    layers = {_report(int(i[1:])).first_layer for i in wanted}
+    subset = SideSubset("entry-a", _SIZE)
+    selected, max_connected = _settle(subset, listed)
+    assert len(selected) <= _SIZE
+    assert max_connected <= _SIZE + 32
+    layers = {_report(int(i[1:])).first_layer for i in selected}
     assert layers == set(range(0, 24, 4))
-    other, _ = _settle(Subset("entry-b", _SIZE), listed)
-    assert other != wanted
+    other, _ = _settle(SideSubset("entry-b", _SIZE), listed)
+    assert other != selected
 
 
-def test_listed_instances_that_never_answer_hold_up_nobody():
-    """New engines get no work although they are live.
+def test_listed_instances_that_never_report_do_not_block_others():
+    """Dead listed instances must not keep live engines from getting work.
 
-    More instances than are asked at once are listed and dead; asked again
-    and again, they would keep the entry from ever asking the others.
+    More instances than the entry probes in one round are listed and dead. If
+    it probed the same ones in every round, it would never reach the others.
     """
     listed = [f"e{n}" for n in range(200)]
     silent = {f"e{n}" for n in range(200) if n % 2}
-    subset = Subset("entry-a", _SIZE)
+    subset = SideSubset("entry-a", _SIZE)
     _settle(subset, listed, silent)
     alive = {f"e{n}" for n in range(200) if n % 2 == 0}
     assert alive <= subset.known
 
 
-def test_small_fleet_is_connected_whole():
+def test_small_fleet_is_connected_completely():
     listed = [f"e{n}" for n in range(_SIZE)]
-    assert Subset("entry-a", _SIZE).wanted(listed) == set(listed)
+    assert SideSubset("entry-a", _SIZE).select(listed) == set(listed)
--- /dev/null
+++ b/caroblug/gateway/_crash_suspicions.py
@@ -0,0 +1,142 @@
+"""Quarantine of requests that crash the backend servers running them.
+
+Recovery would send such a request to one backend server after another, and its
+caller retries it at any gateway. A request that was running on a backend server
+when the server's process ended is suspected of that crash. Gateways exchange
+their suspicions, and a request suspected of three crashes is refused.
+"""
+
+import hashlib
+
+from caroblug.core.limits import Suspicion, Suspicions, Verdict
+from caroblug.gateway._exchange_results import FailureKind
+from caroblug.gateway._fleet import Fleet
+from caroblug.gateway._http_client import Address, Exchange
+from caroblug.gateway._pending_request import PendingRequest
+from caroblug.utils import Clock
+
+QUARANTINE_CRASHES = 3
+"""Crashes after which a request is quarantined. With two, a request hit by two
+unrelated crashes would be quarantined, which on a bad day happens to about one
+request in a thousand; with four, each such request crashes a fourth engine."""
+
+_SUSPICION_TTL_MS = 120_000
+"""Time for which a suspicion counts; callers retry within their deadline of
+20 s."""
+
+_PROBE_TIMEOUT_S = 0.25
+_MAX_SHARED_SUSPICIONS = 50
+
+
+class CrashSuspicions:
+    """Suspicions known to one gateway.
+
+    Args:
+        clock: Source of time.
+        fleet: Backend servers, whose start times identify crashes.
+    """
+
+    def __init__(self, clock: Clock, fleet: Fleet) -> None:
+        self._clock = clock
+        self._fleet = fleet
+        self._suspicions = Suspicions(QUARANTINE_CRASHES)
+
+    def is_quarantined(self, pending: PendingRequest) -> bool:
+        """Returns whether a request must not run."""
+        if not len(self._suspicions):
+            return False
+        verdict = self._suspicions.verdict(
+            fingerprint(pending), self._clock.now_ms()
+        )
+        return verdict is Verdict.QUARANTINED
+
+    def on_connection_lost(
+        self, pending: PendingRequest, name: str, address: Address
+    ) -> bool:
+        """Suspects a request that lost its connection if the process ended.
+
+        The process has ended if its port refuses connections. A backend server
+        that only broke off one response still listens, and one that is cut off
+        refuses nothing.
+
+        Args:
+            pending: The request.
+            name: Name of the backend server.
+            address: Host and port of the backend server.
+
+        Returns:
+            Whether the process has ended.
+        """
+        exchange = Exchange(address)
+        problem = exchange.connect(_PROBE_TIMEOUT_S)
+        exchange.close()
+        if problem is None or problem.failure is not FailureKind.REFUSED:
+            return False
+        self.on_process_ended(pending, name)
+        return True
+
+    def on_process_ended(self, pending: PendingRequest, name: str) -> None:
+        """Suspects a request that was on a backend server when it ended."""
+        self._suspicions.on_suspicion(
+            Suspicion(
+                fingerprint(pending),
+                pending.account or "",
+                self._make_crash_id(name),
+                0,
+                False,
+                _SUSPICION_TTL_MS,
+            ),
+            self._clock.now_ms(),
+        )
+
+    def _make_crash_id(self, name: str) -> str:
+        """Returns an id for the crash of one process of a backend server.
+
+        The id doesn't depend on the request. If a backend server with several
+        equal requests on it ends for another reason, that counts as one crash.
+        Otherwise all callers of a popular request would be refused.
+        """
+        listed = self._fleet.listing.backends.get(name)
+        return f"{name}/{listed.started_ms if listed else 0}"
+
+    def export(self) -> list[list]:
+        """Returns the latest suspicions in the form sent to other gateways."""
+        known = self._suspicions.all_live(self._clock.now_ms())
+        return [
+            [s.fingerprint, s.client_account, s.crash, s.remaining_ms]
+            for s in known[-_MAX_SHARED_SUSPICIONS:]
+        ]
+
+    def merge(self, suspicions: list) -> None:
+        """Adds the suspicions received from another gateway.
+
+        Args:
+            suspicions: Suspicions in the form that `export` returns.
+        """
+        now_ms = self._clock.now_ms()
+        for digest, account, crash, remaining_ms in suspicions:
+            self._suspicions.on_suspicion(
+                Suspicion(
+                    str(digest),
+                    str(account),
+                    str(crash),
+                    0,
+                    False,
+                    min(int(remaining_ms), _SUSPICION_TTL_MS),
+                ),
+                now_ms,
+            )
+
+
+def fingerprint(pending: PendingRequest) -> str:
+    """Returns a digest that equal requests of one client account share."""
+    digest = hashlib.blake2b(digest_size=12)
+    for part in (
+        (pending.account or "").encode(),
+        pending.request.method.encode(),
+        pending.request.target.encode(),
+        pending.request.body,
+    ):
+        digest.update(len(part).to_bytes(4, "big"))
+        digest.update(part)
+    return digest.hexdigest()
--- a/caroblug/gateway/_gateway.py
+++ b/caroblug/gateway/_gateway.py
@@ -1,4 +1,4 @@
-"""The gateway program: callers in front, engines behind, nothing kept."""
+"""The gateway program, a stateless entry between callers and engines."""
 
 import random
 import signal
@@ -8,70 +8,72 @@
 from gevent import event
 
 from caroblug.core.access import DenialReason, Denied, RouteKind, admit
-from caroblug.core.limits import RepeatWindow, RetryAfter
+from caroblug.core.limits import RetryAfter, WindowedRetryBudget
 from caroblug.gateway._caller_requests import RawRequest
-from caroblug.gateway._calls import Calls
 from caroblug.gateway._context import Context
-from caroblug.gateway._crashes import Crashes
+from caroblug.gateway._crash_suspicions import CrashSuspicions
 from caroblug.gateway._decision_log import DecisionLog
 from caroblug.gateway._fleet import Fleet
-from caroblug.gateway._http_server import CallerServer, Reply
+from caroblug.gateway._http_server import HttpServer, Reply
 from caroblug.gateway._interfaces import CallerRequest, Dialect, Registry
-from caroblug.gateway._liveness import Liveness
+from caroblug.gateway._liveness import LivenessMonitor
 from caroblug.gateway._peers import Peers
-from caroblug.gateway._pending import (
-    LEAVING_MS,
-    QUARANTINE_MS,
-    UNREADY_MS,
-    Answers,
-    Pending,
+from caroblug.gateway._pending_request import (
+    LEAVING_RETRY_AFTER_MS,
+    QUARANTINE_RETRY_AFTER_MS,
+    UNREADY_RETRY_AFTER_MS,
+    GatewayResponses,
+    PendingRequest,
 )
-from caroblug.gateway._placement import Placement
-from caroblug.gateway._rechecks import Rechecks
-from caroblug.gateway._repeats import LEND_PATH, Repeats
-from caroblug.gateway._running import RunningStreams
+from caroblug.gateway._placement import PlacementController
+from caroblug.gateway._plain_calls import PlainCallHandler
+from caroblug.gateway._running_streams import RunningStreams
 from caroblug.gateway._settings import GatewaySettings, SettingsProblem
-from caroblug.gateway._slowness import Slowness
-from caroblug.gateway._streams import Streams
-from caroblug.gateway._tallies import Tallies
-from caroblug.gateway._watches import Watches
+from caroblug.gateway._shared_retry_budget import LEND_PATH, SharedRetryBudget
+from caroblug.gateway._slowness import SlownessDetector
+from caroblug.gateway._store_watcher import StoreWatcher
+from caroblug.gateway._streams import StreamHandler
+from caroblug.gateway._suspect_probes import SuspectProbes
+from caroblug.gateway._telemetry import Telemetry
 from caroblug.utils import BoottimeClock
 
-_DENIALS = {
+_DENIAL_STATUSES = {
     DenialReason.NOT_CONFIGURED: 503,
     DenialReason.NO_ROUTE: 404,
     DenialReason.UNKNOWN_KEY: 401,
     DenialReason.NO_SERVICE: 503,
 }
-_NOTICED_MS = 2600
-"""Time from SIGTERM after which nobody sends new connections: the balancer
-asks once a second and believes the second refusal."""
+_BALANCER_NOTICE_MS = 2600
+"""Time from SIGTERM after which no new connections arrive. The load balancer
+checks readiness once a second and acts on the second failed check."""
 
-_LATE_MS = 2900
-"""Time from SIGTERM after which requests are taken only if they must end
-before the exit. Earlier ones can't know of it yet; a long stream that begins
-later would be cut."""
+_LATE_REQUEST_MS = 2900
+"""Time from SIGTERM after which a request is accepted only if its deadline is
+before the exit. Callers of earlier requests can't know of the shutdown yet. A
+long stream that began later would be cut."""
 
 _EXIT_RESERVE_MS = 250
-"""Time kept between the end of the drain and the platform's SIGKILL."""
+"""Time reserved between the end of the drain and the platform's SIGKILL."""
 
-_SETTINGS_S = 5.0
-"""How often the settings are read without a signal; it takes a millisecond."""
+_SETTINGS_POLL_S = 5.0
+"""Interval at which the settings are read without a signal. A read takes a
+millisecond."""
 
-_POLL_S = 0.05
+_DRAIN_POLL_S = 0.05
 
-_START_MOST_MS = 250
-"""Longest time that callers wait for the first configuration and list."""
+_MAX_START_WAIT_MS = 250
+"""Maximum time that callers wait at start for the first configuration and list
+of backend servers."""
 
-_START_LOOK_S = 0.005
+_START_POLL_S = 0.005
 
 
 class Gateway:
-    """One instance of the program.
+    """One instance of the gateway program.
 
     Args:
-        context: What its parts share.
-        registry: The platform's list, configuration and group.
+        context: Shared state of the gateway's components.
+        registry: Access to the platform's list, configuration and group.
         reload: Reads the settings again.
     """
 
@@ -83,94 +85,102 @@
     ) -> None:
         self._context = context
         self._reload = reload
-        self._crashes = Crashes(context.clock, context.fleet)
+        self._crashes = CrashSuspicions(context.clock, context.fleet)
         self._peers = Peers(context, registry, self._crashes)
-        self._watches = Watches(context, registry, self._peers)
-        self._placement = Placement(context, registry, self._peers)
-        self._rechecks = Rechecks(context)
-        self._answers = Answers(context)
-        self._repeats = Repeats(context, self._peers)
-        self._peers.calls.serve(LEND_PATH, self._repeats.answer_loan)
-        self._calls = Calls(context, self._crashes, self._repeats)
+        self._store_watcher = StoreWatcher(context, registry, self._peers)
+        self._placement = PlacementController(context, registry, self._peers)
+        self._suspect_probes = SuspectProbes(context)
+        self._responses = GatewayResponses(context)
+        self._retry_budget = SharedRetryBudget(context, self._peers)
+        self._peers.calls.register(
+            LEND_PATH, self._retry_budget.handle_loan_request
+        )
+        self._calls = PlainCallHandler(
+            context, self._crashes, self._retry_budget
+        )
         self._running = RunningStreams(context)
-        self._liveness = Liveness(context, self._running)
-        self._slowness = Slowness(context, self._running)
-        self._streams = Streams(
-            context, self._crashes, self._running, self._repeats
+        self._liveness = LivenessMonitor(context, self._running)
+        self._slowness = SlownessDetector(context, self._running)
+        self._streams = StreamHandler(
+            context, self._crashes, self._running, self._retry_budget
         )
-        self._leaving = event.Event()
+        self._terminating = event.Event()
         self._settings_problem = ""
-        self._left_ms = 0
-        self._callers = self._listen(context.settings.callers, self._answer)
-        self._ready = self._listen(context.settings.ready, self._answer_ready)
+        self._terminated_ms = 0
+        self._callers = self._listen(
+            context.settings.callers, self._handle_request
+        )
+        self._ready = self._listen(context.settings.ready, self._handle_ready)
         self._peer_calls = self._listen(
-            context.settings.peers, self._peers.calls.answer
+            context.settings.peers, self._peers.calls.handle_request
         )
         self._metrics = self._listen(
-            context.settings.metrics, self._answer_metrics
+            context.settings.metrics, self._handle_metrics
         )
 
     @property
     def ready(self) -> bool:
-        """Whether new connections should come here."""
+        """Whether the load balancer should send new connections here."""
         return (
             self._context.configuration is not None
-            and self._context.fleet.known
-            and not self._leaving.is_set()
+            and self._context.fleet.has_listing
+            and not self._terminating.is_set()
         )
 
     def run(self) -> None:
-        """Serves until SIGTERM and the end of the drain."""
+        """Serves requests until the drain that follows SIGTERM has ended."""
         context = self._context
         context.log.start()
         context.log.write("program.started", settings=str(context.settings))
-        gevent.signal_handler(signal.SIGTERM, self._leave)
-        gevent.signal_handler(signal.SIGINT, self._leave)
-        gevent.signal_handler(signal.SIGHUP, self._read_settings)
-        # Whoever hears that the gateway is ready connects at once.
+        gevent.signal_handler(signal.SIGTERM, self._on_terminate)
+        gevent.signal_handler(signal.SIGINT, self._on_terminate)
+        gevent.signal_handler(signal.SIGHUP, self._reload_settings)
+        # The load balancer may connect as soon as the readiness check succeeds,
+        # so the callers' socket has to listen before.
         self._callers.listen()
         self._ready.start()
         self._peer_calls.start()
         for loop in (
-            self._watches.run_configuration,
-            self._watches.run_list,
+            self._store_watcher.run_configuration,
+            self._store_watcher.run_list,
             self._placement.run_lease,
             self._placement.run_plan,
             self._peers.run_members,
             self._peers.run_exchange,
-            self._rechecks.run,
+            self._suspect_probes.run,
             self._liveness.run,
             self._slowness.run,
-            self._follow_settings,
+            self._poll_settings,
         ):
             gevent.spawn(loop)
         self._wait_until_ready()
         self._callers.start()
         self._metrics.start()
-        self._leaving.wait()
+        self._terminating.wait()
         self._drain()
 
     def _wait_until_ready(self) -> None:
-        """Lets callers that came during the start wait until all is known.
+        """Waits until the gateway is ready, for a limited time.
 
-        Guards against refusing them for a configuration that is read some ms
-        later; while the store is away they are refused soon.
+        Guards against refusing callers that connected during the start because
+        the configuration arrives some milliseconds later. The limit keeps the
+        refusal early while the store is unavailable.
         """
-        end_ms = self._context.clock.now_ms() + _START_MOST_MS
+        end_ms = self._context.clock.now_ms() + _MAX_START_WAIT_MS
         while not self.ready and self._context.clock.now_ms() < end_ms:
-            gevent.sleep(_START_LOOK_S)
+            gevent.sleep(_START_POLL_S)
 
-    def _follow_settings(self) -> None:
-        """Reads the settings now and then: they may change without a word."""
+    def _poll_settings(self) -> None:
+        """Reloads the settings periodically, in case no signal is sent."""
         while True:
-            gevent.sleep(_SETTINGS_S)
-            self._read_settings()
+            gevent.sleep(_SETTINGS_POLL_S)
+            self._reload_settings()
 
-    def _read_settings(self) -> None:
-        """Takes changed settings; keeps the old ones if they can't be used.
+    def _reload_settings(self) -> None:
+        """Applies changed settings, or keeps the old ones if they are invalid.
 
-        Requests that run are not touched. Addresses that this process
-        listens on hold until its next start.
+        Running requests are not affected. Changed listening addresses take
+        effect at the next start of the process.
         """
         context = self._context
         settings = self._reload()
@@ -184,42 +194,45 @@
             return
         context.log.write("settings.taken", settings=str(settings))
         context.settings = settings
-        context.repeats.set_bound(
+        context.retry_budget.set_bound(
             settings.retry_ratio, settings.retry_extra, settings.retry_window_ms
         )
 
-    def _listen(self, address, handler) -> CallerServer:
-        return CallerServer(
+    def _listen(self, address, handler) -> HttpServer:
+        return HttpServer(
             address, handler, self._context.limits, self._context.clock
         )
 
-    def _leave(self) -> None:
-        if not self._leaving.is_set():
-            self._left_ms = self._context.clock.now_ms()
-            self._leaving.set()
+    def _on_terminate(self) -> None:
+        if not self._terminating.is_set():
+            self._terminated_ms = self._context.clock.now_ms()
+            self._terminating.set()
 
     def _drain(self) -> None:
-        """Ends what runs, takes what still comes, then returns.
+        """Waits for running requests and still accepts new ones, then returns.
 
-        New connections come until the balancer has noticed that the gateway
-        isn't ready; refusing them would fail requests without need.
+        New connections arrive until the load balancer has noticed that the
+        gateway isn't ready. Refusing them would fail requests unnecessarily.
         """
         context = self._context
         context.log.write("program.leaving", busy=self._callers.busy)
-        self._callers.close_after_answers()
+        self._callers.close_after_responses()
         gevent.spawn(self._placement.stop)
         while context.clock.now_ms() < self._exit_ms():
-            if context.clock.now_ms() - self._left_ms > _NOTICED_MS:
+            if (
+                context.clock.now_ms() - self._terminated_ms
+                > _BALANCER_NOTICE_MS
+            ):
                 self._callers.close_idle()
                 if not self._callers.busy:
                     break
-            gevent.sleep(_POLL_S)
+            gevent.sleep(_DRAIN_POLL_S)
         context.log.write("program.stopped", cut_short=self._callers.busy)
         context.log.flush()
 
-    # Requests.
+    # Request handling.
 
-    def _answer(self, request: RawRequest, reply: Reply) -> None:
+    def _handle_request(self, request: RawRequest, reply: Reply) -> None:
         context = self._context
         caller = context.dialect.decode_request(request)
         if caller.bad is not None:
@@ -233,20 +246,22 @@
             context.rng,
         )
         if isinstance(decision, Denied):
-            status = _DENIALS[decision.reason]
+            status = _DENIAL_STATUSES[decision.reason]
             self._deny(request, caller, reply, status, decision.reason.value)
             return
         budget_ms = decision.route.timeout_ms
         if caller.deadline_ms is not None:
             budget_ms = min(budget_ms, caller.deadline_ms)
-        pending = Pending(
+        pending = PendingRequest(
             request, caller, decision, reply, request.began_ms + budget_ms
         )
-        if self._comes_too_late(pending):
-            self._answers.refuse(pending, "leaving", LEAVING_MS)
+        if self._would_outlive_exit(pending):
+            self._responses.refuse(pending, "leaving", LEAVING_RETRY_AFTER_MS)
             return
         if self._crashes.is_quarantined(pending):
-            self._answers.refuse(pending, "quarantined", QUARANTINE_MS)
+            self._responses.refuse(
+                pending, "quarantined", QUARANTINE_RETRY_AFTER_MS
+            )
             return
         if decision.route.kind is RouteKind.STREAMING and (
             decision.service.model is not None
@@ -255,11 +270,11 @@
         else:
             self._calls.serve(pending)
 
-    def _comes_too_late(self, pending: Pending) -> bool:
-        """Returns whether the exit would cut a request that begins now."""
-        if not self._leaving.is_set():
+    def _would_outlive_exit(self, pending: PendingRequest) -> bool:
+        """Returns whether the exit could cut a request that began late."""
+        if not self._terminating.is_set():
             return False
-        late_ms = self._left_ms + _LATE_MS
+        late_ms = self._terminated_ms + _LATE_REQUEST_MS
         return (
             pending.request.began_ms > late_ms
             and pending.end_ms > self._exit_ms()
@@ -267,7 +282,7 @@
 
     def _exit_ms(self) -> int:
         drain_ms = self._context.settings.drain_ms
-        return self._left_ms + drain_ms - _EXIT_RESERVE_MS
+        return self._terminated_ms + drain_ms - _EXIT_RESERVE_MS
 
     def _deny(
         self,
@@ -280,9 +295,9 @@
         context = self._context
         after_ms = None
         if status == 503:
-            after_ms = context.retry_after.ms(UNREADY_MS)
+            after_ms = context.retry_after.ms(UNREADY_RETRY_AFTER_MS)
         known = context.configuration
-        context.tallies.count("denied", status=str(status), reason=reason)
+        context.telemetry.count("denied", status=str(status), reason=reason)
         context.log.write(
             "request.denied",
             request=caller.id,
@@ -295,15 +310,15 @@
         headers = context.dialect.own_headers(caller, after_ms)
         reply.send(status, headers, reason.encode())
 
-    def _answer_ready(self, request: RawRequest, reply: Reply) -> None:
+    def _handle_ready(self, request: RawRequest, reply: Reply) -> None:
         del request
         ready = self.ready
         reply.send(200 if ready else 503, [], b"ready" if ready else b"")
 
-    def _answer_metrics(self, request: RawRequest, reply: Reply) -> None:
+    def _handle_metrics(self, request: RawRequest, reply: Reply) -> None:
         del request
         kind = ("Content-Type", "text/plain; version=0.0.4")
-        reply.send(200, [kind], self._context.tallies.expose())
+        reply.send(200, [kind], self._context.telemetry.expose())
 
 
 def make_gateway(
@@ -312,12 +327,12 @@
     registry: Registry,
     reload: Callable[[], GatewaySettings | SettingsProblem],
 ) -> Gateway:
-    """Returns a gateway that isn't running yet.
+    """Returns a new gateway, which is not running yet.
 
     Args:
-        settings: Checked settings.
-        dialect: How requests look on the wire.
-        registry: The platform's list, configuration and group.
+        settings: Validated settings.
+        dialect: Wire protocol for requests, answers, reports and orders.
+        registry: Access to the platform's list, configuration and group.
         reload: Reads the settings again.
     """
     clock = BoottimeClock()
@@ -328,13 +343,13 @@
         rng=rng,
         dialect=dialect,
         fleet=Fleet(settings.data_centre, rng),
-        repeats=RepeatWindow(
+        retry_budget=WindowedRetryBudget(
             settings.retry_ratio,
             settings.retry_extra,
             settings.retry_window_ms,
         ),
         retry_after=RetryAfter(rng),
         log=DecisionLog(settings.instance, clock),
-        tallies=Tallies(),
+        telemetry=Telemetry(),
     )
     return Gateway(context, registry, reload)
--- a/caroblug/gateway/_settings.py
+++ b/caroblug/gateway/_settings.py
@@ -1,11 +1,11 @@
-"""Settings of a gateway, checked in one place."""
+"""Settings of a gateway and their validation."""
 
 import attrs
 
 Address = tuple[str, int]
 
-_MOST_PORT = 65535
-_MOST_MS = 3_600_000
+_MAX_PORT = 65535
+_MAX_MS = 3_600_000
 
 
 @attrs.frozen
@@ -13,18 +13,19 @@
     """Settings of one gateway.
 
     Attributes:
-        instance: Its name.
-        data_centre: Where it runs.
-        callers: Address for callers.
-        ready: Address where it tells whether it is ready.
-        metrics: Address of its metrics.
-        peers: Address for other gateways.
+        instance: Name of the gateway.
+        data_centre: Data centre that the gateway runs in.
+        callers: Address that callers connect to.
+        ready: Address of the readiness check.
+        metrics: Address of the metrics endpoint.
+        peers: Address that other gateways connect to.
         store: Address of the platform's store.
-        heartbeat_ms: How often backend servers renew their place in the list.
+        heartbeat_ms: Interval at which backend servers renew their entry in the
+            list.
         drain_ms: Time from SIGTERM to SIGKILL.
-        retry_ratio: Share of a service's requests that may be sent again.
-        retry_extra: Requests beyond that, of all gateways together.
-        retry_window_ms: Time over which both are counted.
+        retry_ratio: Share of a service's requests that may be retried.
+        retry_extra: Further retries, for all gateways together.
+        retry_window_ms: Time window in which requests and retries are counted.
         lease_least_ms: Shortest lease that the store grants.
         store_partitions: Partitions of each topic of the store.
     """
@@ -47,12 +48,12 @@
 
 @attrs.frozen
 class SettingsProblem:
-    """Settings that can't be used.
+    """Describes why settings are invalid.
 
     Attributes:
-        file: The settings file.
-        key: The key at fault; empty if it is the whole file.
-        message: What is wrong.
+        file: Name of the settings file.
+        key: The invalid key; empty if the whole file is invalid.
+        message: What is wrong with the value.
     """
 
     file: str
@@ -65,12 +66,12 @@
 
 
 _RANGES: dict[str, tuple[float, float]] = {
-    "heartbeat_ms": (1, _MOST_MS),
-    "drain_ms": (1, _MOST_MS),
+    "heartbeat_ms": (1, _MAX_MS),
+    "drain_ms": (1, _MAX_MS),
     "retry_ratio": (0, 10),
     "retry_extra": (0, 1e9),
-    "retry_window_ms": (1, _MOST_MS),
-    "lease_least_ms": (1, _MOST_MS),
+    "retry_window_ms": (1, _MAX_MS),
+    "lease_least_ms": (1, _MAX_MS),
     "store_partitions": (1, 100_000),
 }
 
@@ -78,18 +79,23 @@
 def check_gateway_settings(
     settings: GatewaySettings, file: str
 ) -> GatewaySettings | SettingsProblem:
-    """Returns the settings, or the first value out of its range."""
+    """Returns the settings if they are valid, or else the first problem.
+
+    Args:
+        settings: The settings to check.
+        file: Name of the settings file, for the problem's text.
+    """
     for name in ("instance", "data_centre"):
         value = getattr(settings, name)
         if not isinstance(value, str) or not value:
             return SettingsProblem(file, name, f"must be text, got {value!r}")
     for name in ("callers", "ready", "metrics", "peers", "store"):
         host, port = getattr(settings, name)
-        if not host or not 0 <= port <= _MOST_PORT:
+        if not host or not 0 <= port <= _MAX_PORT:
             return SettingsProblem(
                 file,
                 name,
-                f"must be HOST:PORT with a port from 0 to {_MOST_PORT}, "
+                f"must be HOST:PORT with a port from 0 to {_MAX_PORT}, "
                 f"got {host}:{port}",
             )
     for name, (low, high) in _RANGES.items():
--- a/caroblug/gateway/_tallies.py
+++ b/caroblug/gateway/_telemetry.py
@@ -1,8 +1,9 @@
 """Counters, gauges and latency histograms of a gateway.
 
-They are kept as plain numbers and HDR histograms, and turned into Prometheus
-text by prometheus_client when somebody asks. The library is imported at that
-moment: it would add a third to the time from a start to the first request.
+They are stored as plain numbers and HDR histograms. prometheus_client converts
+them to Prometheus text when the metrics are scraped. The library is imported
+only then, because it would add a third to the time from program start to the
+first request.
 """
 
 import collections
@@ -11,15 +12,15 @@
 
 _LOWEST_US = 1
 _HIGHEST_US = 600_000_000
-_DIGITS = 2
+_SIGNIFICANT_DIGITS = 2
 _US_PER_MS = 1000
 _QUANTILES = (50.0, 95.0, 99.0, 100.0)
 
 Labels = tuple[tuple[str, str], ...]
 
 
-class Tallies:
-    """Numbers by name and labels."""
+class Telemetry:
+    """Stores metrics by name and labels."""
 
     def __init__(self) -> None:
         self._counters: collections.Counter[tuple[str, Labels]] = (
@@ -29,7 +30,7 @@
         self._histograms: dict[tuple[str, Labels], HdrHistogram] = {}
 
     def count(self, name: str, amount: int = 1, **labels: str) -> None:
-        """Adds to the counter `caroblug_<name>_total`."""
+        """Increments the counter `caroblug_<name>_total`."""
         self._counters[(name, tuple(labels.items()))] += amount
 
     def gauge(self, name: str, value: float, **labels: str) -> None:
@@ -41,7 +42,9 @@
         key = (name, tuple(labels.items()))
         histogram = self._histograms.get(key)
         if histogram is None:
-            histogram = HdrHistogram(_LOWEST_US, _HIGHEST_US, _DIGITS)
+            histogram = HdrHistogram(
+                _LOWEST_US, _HIGHEST_US, _SIGNIFICANT_DIGITS
+            )
             self._histograms[key] = histogram
         us = min(max(int(ms * _US_PER_MS), _LOWEST_US), _HIGHEST_US)
         histogram.record_value(us)
@@ -51,7 +54,7 @@
         return self._counters[(name, tuple(labels.items()))]
 
     def collect(self):
-        """Yields metric families, as prometheus_client wants them."""
+        """Yields the metric families that prometheus_client collects."""
         from prometheus_client import core
 
         families = {}
@@ -79,7 +82,7 @@
         yield from families.values()
 
     def expose(self) -> bytes:
-        """Returns everything as Prometheus text."""
+        """Returns all metrics in the Prometheus text format."""
         import prometheus_client
 
         registry = prometheus_client.CollectorRegistry()
@@ -87,5 +90,5 @@
         return prometheus_client.generate_latest(registry)
 
     def describe(self) -> list:
-        """Tells the registry nothing: names come and go with their use."""
+        """Returns no families, as names are known only once they are used."""
         return []
--- a/caroblug/gateway/tests/test_first_settings.py
+++ b/caroblug/gateway/tests/test_initial_settings.py
@@ -1,9 +1,9 @@
-"""Settings at the start of the program."""
+"""Tests of reading the settings at program start."""
 
 from caroblug.gateway import (
     GatewaySettings,
     SettingsProblem,
-    read_first_settings,
+    read_initial_settings,
 )
 from caroblug.gateway.tests.fakes import NOWHERE
 
@@ -13,21 +13,22 @@
 )
 
 
-def test_file_that_is_being_written_does_not_end_the_start():
-    # Guards against an exit at the moment in which settings are written anew.
+def test_file_that_is_being_rewritten_does_not_end_the_start():
+    # Guards against an exit when the program starts while the settings file is
+    # being rewritten.
     reads = iter([PROBLEM, PROBLEM, SETTINGS])
     pauses = []
 
-    settings = read_first_settings(lambda: next(reads), pauses.append)
+    settings = read_initial_settings(lambda: next(reads), pauses.append)
 
     assert settings == SETTINGS
     assert len(pauses) == 2
 
 
-def test_file_that_stays_broken_ends_the_start():
+def test_file_that_stays_invalid_ends_the_start():
     pauses = []
 
-    settings = read_first_settings(lambda: PROBLEM, pauses.append)
+    settings = read_initial_settings(lambda: PROBLEM, pauses.append)
 
     assert settings == PROBLEM
     assert sum(pauses) <= 2.0
--- a/caroblug/transport/_sessions.py
+++ b/caroblug/transport/_sessions.py
@@ -43,7 +43,7 @@
 
 
 @attrs.frozen
-class Timing:
+class SessionTiming:
     """How soon a session is asked whether it still lives.
 
     Attributes:
@@ -158,7 +158,7 @@
             else:
                 waiting.append(message)
         payload = framing.encode(frame)
-        self.delivery.keep(payload, now_ms)
+        self.delivery.retain(payload, now_ms)
         return payload
 
     def on_frame(self, frame: wire.Frame, now_ms: int) -> list[wire.Frame]:
@@ -189,7 +189,9 @@
         self._pinged_ms = 0
         self.delivery.restart_wait(now_ms)
 
-    def tick(self, timing: Timing, *, watched: bool, now_ms: int) -> bool:
+    def tick(
+        self, timing: SessionTiming, *, watched: bool, now_ms: int
+    ) -> bool:
         """Sends what is due, and tells whether the peer is suspected.
 
         Guards against a connection that something between the two ends has
