--- a/caroblug/entry/_admission.py
+++ b/caroblug/entry/_admission.py
@@ -181,7 +181,7 @@
             return None
         return self._refuse(
             RefusalType.OVERLOADED,
-            "the engines have no capacity for another stream",
+            "the engines are full",
         )
 
     def _reserve(
@@ -189,15 +189,13 @@
     ) -> Refused | None:
         name = request.client_account
         if not self._stream_slots.take():
-            return self._refuse(
-                RefusalType.OVERLOADED, "this instance has no free stream slots"
-            )
+            return self._refuse(RefusalType.OVERLOADED, "this instance is full")
         rule = make_account_rule(account)
         if not self._shares.acquire_stream(name, rule):
             self._stream_slots.release()
             return self._refuse(
                 RefusalType.LIMIT_REACHED,
-                f"the account already has {account.streams} open streams",
+                f"the account's {account.streams} streams are open already",
             )
         cost = (
             sharing.prompt_weight * len(request.prompt)
@@ -208,7 +206,7 @@
             self._stream_slots.release()
             return self._refuse(
                 RefusalType.LIMIT_REACHED,
-                "the account has used its tokens for this minute",
+                "the account's tokens for this minute are used",
                 _TOKENS_RETRY_AFTER_MS,
             )
         return None
--- a/caroblug/entry/_api.py
+++ b/caroblug/entry/_api.py
@@ -61,6 +61,6 @@
     if isinstance(error, AssertionError):
         os._exit(_EXIT_INVARIANT_BROKEN)
     refused = Refused(
-        RefusalType.BACKEND_FAILED, "internal error in the entry", Ran.UNKNOWN
+        RefusalType.BACKEND_FAILED, "the request failed here", Ran.UNKNOWN
     )
     write_refusal(response, refused)
--- a/caroblug/entry/_authentication.py
+++ b/caroblug/entry/_authentication.py
@@ -4,7 +4,7 @@
 from caroblug.utils import RefusalType, Refused
 
 _BEARER_PREFIX = "Bearer "
-_UNKNOWN_KEY = Refused(RefusalType.UNAUTHENTICATED, "the API key is unknown")
+_UNKNOWN_KEY = Refused(RefusalType.UNAUTHENTICATED, "the key is not known")
 
 
 def authenticate(bundle: Bundle, authorization: str | None) -> str | Refused:
@@ -21,7 +21,7 @@
     if not authorization or not authorization.startswith(_BEARER_PREFIX):
         return Refused(
             RefusalType.UNAUTHENTICATED,
-            "the Authorization header must carry a bearer key",
+            "a bearer key must be given",
         )
     key = authorization[len(_BEARER_PREFIX) :].strip()
     account = parse_account(key)
--- a/caroblug/entry/_chain_picker.py
+++ b/caroblug/entry/_chain_picker.py
@@ -132,7 +132,7 @@
             return None
         return Refused(
             RefusalType.DEADLINE_EXCEEDED,
-            "the deadline can't be met at the current load",
+            "the deadline can't be met at the present load",
             Ran.NO,
             missed.retry_after_ms,
         )
--- a/caroblug/entry/_plain_service_client.py
+++ b/caroblug/entry/_plain_service_client.py
@@ -227,7 +227,7 @@
 def _no_reply() -> Refused:
     return Refused(
         RefusalType.OUTCOME_UNKNOWN,
-        "no reply from the service",
+        "no answer from the service",
         Ran.UNKNOWN,
         _RETRY_AFTER_MS,
     )
@@ -259,6 +259,6 @@
 def _no_instance(service: str) -> Refused:
     return Refused(
         RefusalType.NO_CAPACITY,
-        f"no instance of {service!r} accepts calls",
+        f"no instance of {service!r} takes calls",
         retry_after_ms=_RETRY_AFTER_MS,
     )
--- a/caroblug/entry/_quarantine.py
+++ b/caroblug/entry/_quarantine.py
@@ -109,7 +109,7 @@
         left_ms = self._suspicions.remaining_ms(fingerprint, now_ms)
         return Refused(
             RefusalType.QUARANTINED,
-            "the request is quarantined because it crashed backend servers",
+            "this request has made backend servers crash",
             ran,
             max(1, min(left_ms, self._rule().retry_after_ms)),
         )
@@ -145,7 +145,7 @@
         if refused is None and not admitted:
             refused = Refused(
                 RefusalType.LIMIT_REACHED,
-                "an identical request is still running",
+                "an equal request is still running",
                 retry_after_ms=_RETRY_AFTER_MS,
             )
         if refused is not None:
--- a/caroblug/entry/_requests.py
+++ b/caroblug/entry/_requests.py
@@ -82,7 +82,7 @@
             "; ".join(f"{p.key} {p.message}" for p in parsed.problems)
         )
     if not parsed.text.strip():
-        return _bad_request("messages or prompt must contain text")
+        return _bad_request("messages or prompt must hold text")
     return parsed
 
 
--- a/caroblug/entry/_services.py
+++ b/caroblug/entry/_services.py
@@ -106,7 +106,7 @@
         if not limiter.take():
             return Refused(
                 RefusalType.LIMIT_REACHED,
-                f"the account already has {rule.calls} open calls",
+                f"the account's {rule.calls} calls are open already",
                 retry_after_ms=_RETRY_AFTER_MS,
             )
         try:
--- a/caroblug/entry/_stream_reader.py
+++ b/caroblug/entry/_stream_reader.py
@@ -20,7 +20,7 @@
 _RETRY_AFTER_MS = 1000
 _DEADLINE_EXCEEDED = Refused(
     RefusalType.DEADLINE_EXCEEDED,
-    "the deadline passed before the response was complete",
+    "the answer took too long",
     Ran.UNKNOWN,
     _RETRY_AFTER_MS,
 )
--- a/caroblug/entry/_streams.py
+++ b/caroblug/entry/_streams.py
@@ -29,7 +29,7 @@
 _RETRY_AFTER_MS = 1000
 _UNREAD_LIMIT_REACHED = Refused(
     RefusalType.LIMIT_REACHED,
-    "the caller is not reading the response",
+    "the caller does not read its answer",
     Ran.YES,
     _RETRY_AFTER_MS,
 )
