--- a/caroblug/entry/_request_guard.py
+++ b/caroblug/entry/_request_guard.py
@@ -39,7 +39,7 @@
             The head and the name of the account; a refusal if this instance
             is not ready or the key is not valid.
         """
-        head = self._bundles.newest_head()
+        head = self._bundles.wait_for_newest_head()
         if head is None or not self._lifetime.accepting:
             return _NOT_READY
         account = authenticate(head.bundle, request.get_header("Authorization"))
--- a/caroblug/entry/_server.py
+++ b/caroblug/entry/_server.py
@@ -26,7 +26,7 @@
 from caroblug.gen.wire import ttypes as wire
 from caroblug.node import (
     Lifetime,
-    NodeHttp,
+    NodeHttpServer,
     add_node_routes,
     add_status_route,
     make_fleet,
@@ -69,14 +69,14 @@
                 settings.instance,
                 "entry",
                 settings.data_centre,
-                host=settings.reach_host,
-                port=settings.reach_port,
+                host=settings.reachable_host,
+                port=settings.reachable_port,
             ),
             settings.shared_keys[0].encode(),
             self,
             self._clock,
             self.metrics,
-            settings.make_timing(),
+            settings.make_session_timing(),
         )
         self.fleet = make_fleet(
             settings,
@@ -99,8 +99,8 @@
         self.streams = EntryStreams(
             wire.StageRef(
                 settings.instance,
-                settings.reach_host,
-                settings.reach_port,
+                settings.reachable_host,
+                settings.reachable_port,
                 0,
                 0,
             ),
@@ -151,9 +151,11 @@
     def run(self) -> None:
         """Serves until the process has drained."""
         settings = self.settings
-        self.lifetime.install()
+        self.lifetime.install_signal_handlers()
         self.network.start(settings.host, settings.peer_port)
-        http = NodeHttp(settings.host, settings.http_port, self._make_app())
+        http = NodeHttpServer(
+            settings.host, settings.http_port, self._make_app()
+        )
         http.start()
         self.fleet.start(self.lifetime.leave)
         gevent.spawn(self._watch_instances)
--- a/caroblug/node/__init__.py
+++ b/caroblug/node/__init__.py
@@ -3,7 +3,7 @@
 from caroblug.node._bundles import BUNDLE_STREAM, BundleFollower
 from caroblug.node._fleet import Fleet, make_fleet
 from caroblug.node._http import (
-    NodeHttp,
+    NodeHttpServer,
     NodeStatus,
     add_node_routes,
     add_status_route,
@@ -19,7 +19,7 @@
     "BundleFollower",
     "Fleet",
     "Lifetime",
-    "NodeHttp",
+    "NodeHttpServer",
     "NodeSettings",
     "NodeStatus",
     "add_node_routes",
--- a/caroblug/node/_bundles.py
+++ b/caroblug/node/_bundles.py
@@ -127,7 +127,7 @@
         """How long the head has been in force here."""
         return self._clock.now_ms() - self._since_ms
 
-    def newest_head(self) -> Head | None:
+    def wait_for_newest_head(self) -> Head | None:
         """Returns the head, after a newer one that is on its way.
 
         Waits a fifth of a second at most: an instance whose peers cannot
--- a/caroblug/node/_http.py
+++ b/caroblug/node/_http.py
@@ -158,7 +158,7 @@
             close()
 
 
-class NodeHttp:
+class NodeHttpServer:
     """A WSGI server of one program.
 
     Args:
--- a/caroblug/node/_lifetime.py
+++ b/caroblug/node/_lifetime.py
@@ -63,7 +63,7 @@
             return True
         return self._clock.now_ms() - self._left_ms < self._linger_ms
 
-    def install(self) -> None:
+    def install_signal_handlers(self) -> None:
         """Lets SIGTERM and SIGINT begin the drain."""
         gevent.signal_handler(signal.SIGTERM, self.leave)
         gevent.signal_handler(signal.SIGINT, self.leave)
--- a/caroblug/node/_settings.py
+++ b/caroblug/node/_settings.py
@@ -84,16 +84,16 @@
     linger_ms: int = duration_ms("Shortest time to the exit.", 1000)
 
     @property
-    def reach_host(self) -> str:
+    def reachable_host(self) -> str:
         """IP address by which others reach the peer port."""
         return self.advertised_host or self.host
 
     @property
-    def reach_port(self) -> int:
+    def reachable_port(self) -> int:
         """Port by which others reach the peer port."""
         return self.advertised_port or self.peer_port
 
-    def make_timing(self) -> SessionTiming:
+    def make_session_timing(self) -> SessionTiming:
         """Returns how soon a peer is asked whether it still lives."""
         return SessionTiming(
             heartbeat_ms=self.heartbeat_ms,
--- a/caroblug/node/tests/test_bundles.py
+++ b/caroblug/node/tests/test_bundles.py
@@ -146,7 +146,7 @@
     assert not fleet.nodes[hearer].ready
     fleet.run(3)
     assert fleet.nodes[hearer].ready
-    assert fleet.nodes[hearer].newest_head().version == 2
+    assert fleet.nodes[hearer].wait_for_newest_head().version == 2
 
 
 class SpreadMachine(RuleBasedStateMachine):
--- a/caroblug/side/_server.py
+++ b/caroblug/side/_server.py
@@ -11,7 +11,7 @@
 from caroblug.gen.wire import ttypes as wire
 from caroblug.node import (
     Lifetime,
-    NodeHttp,
+    NodeHttpServer,
     add_node_routes,
     add_status_route,
     make_fleet,
@@ -68,8 +68,8 @@
             settings.instance,
             "side",
             settings.data_centre,
-            host=settings.reach_host,
-            port=settings.reach_port,
+            host=settings.reachable_host,
+            port=settings.reachable_port,
         )
         self.network = make_peer_network(
             hello,
@@ -77,7 +77,7 @@
             self,
             self._clock,
             self.metrics,
-            settings.make_timing(),
+            settings.make_session_timing(),
         )
         self.fleet = make_fleet(
             settings,
@@ -112,14 +112,14 @@
     def run(self) -> None:
         """Serves until the process has drained."""
         settings = self.settings
-        self.lifetime.install()
+        self.lifetime.install_signal_handlers()
         self.network.start(settings.host, settings.peer_port)
         app = falcon.App()
         add_node_routes(app, self.metrics, lambda: self.ready)
         add_status_route(
             app, lambda: self.fleet.status(self.ready, self._running())
         )
-        http = NodeHttp(settings.host, settings.http_port, app)
+        http = NodeHttpServer(settings.host, settings.http_port, app)
         http.start()
         self.fleet.start(self.lifetime.leave)
         if self._engine is not None:
@@ -349,8 +349,8 @@
             data_centre=settings.data_centre,
             leaving=self._takes_none(),
             bundle_version=head.version if head else 0,
-            host=settings.reach_host,
-            port=settings.reach_port,
+            host=settings.reachable_host,
+            port=settings.reachable_port,
             interval_ms=self._report_interval_ms(),
         )
         if settings.plain is not None:
