--- a/caroblug/bundle/_commands.py
+++ b/caroblug/bundle/_commands.py
@@ -14,7 +14,7 @@
 from caroblug.bundle import _fleet
 from caroblug.bundle._diff import diff_tables, merge_tables
 from caroblug.bundle._files import BundleFile
-from caroblug.bundle._log import Accepted, Beaten, BundleLog, Unknown
+from caroblug.bundle._log import Accepted, BundleLog, Superseded, Unconfirmed
 from caroblug.core.state import (
     BundleRecord,
     Rejected,
@@ -41,7 +41,7 @@
 OK = 0
 FAILED = 1
 USAGE = 2
-_PRIVATE_MODE = 0o600
+_PRIVATE_KEY_MODE = 0o600
 _MS_PER_S = 1000
 
 
@@ -49,7 +49,7 @@
     """Makes an operator's key pair; prints the public key."""
     key = Ed25519PrivateKey.generate()
     path = pathlib.Path(options.out)
-    path.touch(mode=_PRIVATE_MODE, exist_ok=False)
+    path.touch(mode=_PRIVATE_KEY_MODE, exist_ok=False)
     path.write_text(key.private_bytes_raw().hex() + "\n")
     print(key.public_key().public_bytes_raw().hex())
     return OK
@@ -64,14 +64,14 @@
 
 def check(options: argparse.Namespace) -> int:
     """Prints every mistake in a bundle."""
-    if _print_mistakes(options.bundle):
+    if _print_problems(options.bundle):
         return USAGE
     print(f"{options.bundle.path}: ok")
     return OK
 
 
 def diff(options: argparse.Namespace) -> int:
-    """Prints what a bundle changes, and for whom."""
+    """Prints what a bundle changes, and for affected."""
     if options.against is not None:
         old = options.against.table
     else:
@@ -88,7 +88,7 @@
 
 def sign(options: argparse.Namespace) -> int:
     """Makes a record on the log's head, or adds a signature to one."""
-    if _print_mistakes(options.bundle):
+    if _print_problems(options.bundle):
         return USAGE
     log = _open_log(options)
     if log is None:
@@ -101,9 +101,11 @@
         if held is None:
             return USAGE
         if held.manifest != record.manifest:
-            return _complain(f"{out}: is not made from {options.bundle.path}")
+            return _print_error(
+                f"{out}: is not made from {options.bundle.path}"
+            )
         if held.parent != parent:
-            return _complain(
+            return _print_error(
                 f"{out}: another version has won since it was made; "
                 "remove it and sign anew, or see `rebase`",
                 FAILED,
@@ -125,7 +127,7 @@
     record = options.record.record
     base = log.table(record.parent)
     if base is None or log.head is None:
-        return _complain(
+        return _print_error(
             "the log no longer holds the version that the record is based "
             "on; compare with `diff` and edit the bundle by hand",
             FAILED,
@@ -133,12 +135,12 @@
     held = {section_hash(b): b for b in split_sections(base).values()}
     held.update(record.sections)
     if any(key not in held for key in record.manifest.values()):
-        return _complain("the record lacks sections of its parent")
+        return _print_error("the record lacks sections of its parent")
     mine = join_sections({n: held[k] for n, k in record.manifest.items()})
     merged = merge_tables(base, mine, join_sections(log.head.sections))
     pathlib.Path(options.out).write_text(tomli_w.dumps(merged.table))
-    for place in merged.conflicts:
-        print(f"{place}: both changed it; version {log.head.version} stays")
+    for key_path in merged.conflicts:
+        print(f"{key_path}: both changed it; version {log.head.version} stays")
     print(f"{options.out}: based on version {log.head.version}")
     return FAILED if merged.conflicts else OK
 
@@ -148,7 +150,7 @@
     record = options.record.record
     signers = len(verified_signers(record, options.operator))
     if signers < options.signatures:
-        return _complain(
+        return _print_error(
             f"{options.record.path}: {signers} valid signatures, "
             f"{options.signatures} needed"
         )
@@ -157,8 +159,8 @@
     if isinstance(outcome, Accepted):
         print(f"version {record.version} is accepted")
         return OK
-    if isinstance(outcome, Beaten):
-        return _complain(
+    if isinstance(outcome, Superseded):
+        return _print_error(
             f"not accepted: version {outcome.version} digest "
             f"{outcome.digest} won. To rebase:\n"
             f"  caroblug-bundle rebase {options.record.path} "
@@ -167,8 +169,8 @@
             FAILED,
         )
     if isinstance(outcome, Rejected):
-        return _complain(f"not accepted: {outcome.reason}", FAILED)
-    return _complain(_unknown_text(outcome), FAILED)
+        return _print_error(f"not accepted: {outcome.reason}", FAILED)
+    return _print_error(_describe_unconfirmed(outcome), FAILED)
 
 
 def status(options: argparse.Namespace) -> int:
@@ -183,14 +185,14 @@
         print(f"version {head.version} digest {head.digest}")
     if options.instances is None:
         return OK
-    listed = _make_instances(options).fetch()
+    listed = _make_instance_list(options).fetch()
     if isinstance(listed, InstancesUnavailable):
-        return _complain(
+        return _print_error(
             f"the instance list gave no answer: {listed.message}", FAILED
         )
-    statuses = _fleet.ask_all(listed)
+    statuses = _fleet.fetch_statuses(listed)
     for instance in statuses:
-        print(_fleet.status_line(instance))
+        print(_fleet.format_status_line(instance))
     version = head.version if head else 0
     at_head = sum(s.answered and s.version == version for s in statuses)
     print(f"{at_head} of {len(statuses)} instances have version {version}")
@@ -200,7 +202,7 @@
 def withdraw(options: argparse.Namespace) -> int:
     """Takes an instance out and waits until it has drained."""
     outcome = _fleet.withdraw(
-        _make_instances(options),
+        _make_instance_list(options),
         options.instance,
         options.wait_s * _MS_PER_S,
         MonotonicClock(),
@@ -209,15 +211,15 @@
         print(f"{options.instance} has drained")
         return OK
     if isinstance(outcome, _fleet.NotListed):
-        return _complain(f"{options.instance}: is not on the instance list")
+        return _print_error(f"{options.instance}: is not on the instance list")
     if isinstance(outcome, _fleet.StillRunning):
         left = "it has not said what" if outcome.running < 0 else "requests"
         count = "" if outcome.running < 0 else f"{outcome.running} "
-        return _complain(
+        return _print_error(
             f"{options.instance} is leaving but still runs {count}{left}",
             FAILED,
         )
-    return _complain(
+    return _print_error(
         f"the instance list gave no answer: {outcome.message}", FAILED
     )
 
@@ -238,7 +240,7 @@
     )
 
 
-def _print_mistakes(bundle: BundleFile) -> bool:
+def _print_problems(bundle: BundleFile) -> bool:
     problems = check_bundle_table(bundle.table, bundle.path.name)
     for problem in problems:
         print(problem, file=sys.stderr)
@@ -248,7 +250,7 @@
 def _read_record(path: pathlib.Path) -> BundleRecord | None:
     record = decode_record(path.read_bytes())
     if record is None:
-        _complain(f"{path}: is not a bundle record")
+        _print_error(f"{path}: is not a bundle record")
     return record
 
 
@@ -261,7 +263,7 @@
     )
 
 
-def _make_instances(options: argparse.Namespace) -> Any:
+def _make_instance_list(options: argparse.Namespace) -> Any:
     return make_instance_list(options.instances.host, options.instances.port)
 
 
@@ -270,12 +272,12 @@
     log = _make_log(options)
     failed = log.read()
     if isinstance(failed, LogUnavailable):
-        _complain(f"the log gave no answer: {failed.message}")
+        _print_error(f"the log gave no answer: {failed.message}")
         return None
     return log
 
 
-def _unknown_text(outcome: Unknown) -> str:
+def _describe_unconfirmed(outcome: Unconfirmed) -> str:
     if not outcome.maybe_written:
         return f"the log gave no answer: {outcome.message}; nothing was written"
     return (
@@ -284,6 +286,6 @@
     )
 
 
-def _complain(message: str, code: int = USAGE) -> int:
+def _print_error(message: str, code: int = USAGE) -> int:
     print(message, file=sys.stderr)
     return code
--- a/caroblug/bundle/_diff.py
+++ b/caroblug/bundle/_diff.py
@@ -1,13 +1,13 @@
-"""What a new bundle changes, and for whom."""
+"""What a new bundle changes, and for affected."""
 
 from collections.abc import Iterator
 from typing import Any
 
 import attrs
 
-_ABSENT = "(not set)"
-_EVERY_CALLER = "every caller"
-_WHOM = {
+_NOT_SET = "(not set)"
+_ALL_CALLERS = "every caller"
+_AFFECTED_TEMPLATES = {
     "client_accounts": "client account {}",
     "models": "callers of model {}",
     "services": "callers of service {}",
@@ -19,77 +19,79 @@
     """One value that differs.
 
     Attributes:
-        place: Dotted path of the value.
-        whom: Who is concerned.
+        key_path: Dotted path of the value.
+        affected: Who is concerned.
         before: The value in the old bundle, as text.
         after: The value in the new bundle, as text.
     """
 
-    place: str
-    whom: str
+    key_path: str
+    affected: str
     before: str
     after: str
 
     def __str__(self) -> str:
-        return f"{self.place}: {self.before} -> {self.after} [{self.whom}]"
+        return (
+            f"{self.key_path}: {self.before} -> {self.after} [{self.affected}]"
+        )
 
 
 def diff_tables(old: dict[str, Any], new: dict[str, Any]) -> list[Change]:
-    """Returns what differs between two parsed bundles, by place."""
+    """Returns what differs between two parsed bundles, by key_path."""
     changes = []
     for key in sorted(old.keys() | new.keys()):
         before, after = old.get(key), new.get(key)
-        if key in _WHOM:
-            changes.extend(_diff_named(key, before or {}, after or {}))
+        if key in _AFFECTED_TEMPLATES:
+            changes.extend(_diff_named_entries(key, before or {}, after or {}))
         else:
-            changes.extend(_diff_value((key,), _EVERY_CALLER, before, after))
+            changes.extend(_diff_value((key,), _ALL_CALLERS, before, after))
     return changes
 
 
-def _diff_named(
+def _diff_named_entries(
     key: str, old: dict[str, Any], new: dict[str, Any]
 ) -> Iterator[Change]:
     for name in sorted(old.keys() | new.keys()):
-        whom = _WHOM[key].format(name)
-        place = f"{key}.{name}"
+        affected = _AFFECTED_TEMPLATES[key].format(name)
+        key_path = f"{key}.{name}"
         if name not in old:
-            yield Change(place, whom, _ABSENT, "added")
+            yield Change(key_path, affected, _NOT_SET, "added")
         elif name not in new:
-            yield Change(place, whom, "present", "removed")
+            yield Change(key_path, affected, "present", "removed")
         else:
-            yield from _diff_value((key, name), whom, old[name], new[name])
+            yield from _diff_value((key, name), affected, old[name], new[name])
 
 
 def _diff_value(
-    path: tuple[str, ...], whom: str, old: Any, new: Any
+    path: tuple[str, ...], affected: str, old: Any, new: Any
 ) -> Iterator[Change]:
     if old == new:
         return
     if isinstance(old, dict) and isinstance(new, dict):
         for key in sorted(old.keys() | new.keys()):
             yield from _diff_value(
-                (*path, key), whom, old.get(key), new.get(key)
+                (*path, key), affected, old.get(key), new.get(key)
             )
         return
-    place = ".".join(path)
+    key_path = ".".join(path)
     if path[-1] == "key_hashes":
         before, after = set(old or ()), set(new or ())
         yield Change(
-            place,
-            whom,
+            key_path,
+            affected,
             f"{len(before - after)} keys end",
             f"{len(after - before)} keys begin",
         )
         return
-    yield Change(place, whom, _text(old), _text(new))
+    yield Change(key_path, affected, _format_value(old), _format_value(new))
 
 
-def _text(value: Any) -> str:
-    return _ABSENT if value is None else str(value)
+def _format_value(value: Any) -> str:
+    return _NOT_SET if value is None else str(value)
 
 
 @attrs.frozen
-class Merged:
+class MergeResult:
     """Two changes of one bundle put together.
 
     Attributes:
@@ -104,11 +106,11 @@
 
 def merge_tables(
     base: dict[str, Any], mine: dict[str, Any], theirs: dict[str, Any]
-) -> Merged:
+) -> MergeResult:
     """Puts what `mine` changes of `base` onto `theirs`."""
     conflicts: list[str] = []
     table = _merge(base, mine, theirs, (), conflicts)
-    return Merged(table, tuple(conflicts))
+    return MergeResult(table, tuple(conflicts))
 
 
 def _merge(
--- a/caroblug/bundle/_fleet.py
+++ b/caroblug/bundle/_fleet.py
@@ -16,9 +16,9 @@
 from caroblug.transport._http import HttpResponse, JsonHttpClient
 from caroblug.utils import Clock
 
-_TIMEOUT_MS = 1000
-_AT_ONCE = 32
-_POLL_S = 0.2
+_STATUS_TIMEOUT_MS = 1000
+_MAX_CONCURRENT_REQUESTS = 32
+_POLL_INTERVAL_S = 0.2
 _MS_PER_S = 1000
 
 
@@ -43,11 +43,13 @@
     running: int = 0
 
 
-def ask_instance(record: InstanceRecord) -> InstanceStatus:
+def fetch_status(record: InstanceRecord) -> InstanceStatus:
     """Asks one instance for its status."""
     if not record.http_port:
         return InstanceStatus(record, answered=False)
-    client = JsonHttpClient(record.host, record.http_port, _TIMEOUT_MS, 1)
+    client = JsonHttpClient(
+        record.host, record.http_port, _STATUS_TIMEOUT_MS, 1
+    )
     try:
         answer = client.request("GET", "/status")
         if not isinstance(answer, HttpResponse):
@@ -67,13 +69,13 @@
         client.close()
 
 
-def ask_all(records: Iterable[InstanceRecord]) -> list[InstanceStatus]:
+def fetch_statuses(records: Iterable[InstanceRecord]) -> list[InstanceStatus]:
     """Asks every instance, a few at once."""
     ordered = sorted(records, key=lambda r: r.instance)
-    return pool.Pool(_AT_ONCE).map(ask_instance, ordered)
+    return pool.Pool(_MAX_CONCURRENT_REQUESTS).map(fetch_status, ordered)
 
 
-def status_line(status: InstanceStatus) -> str:
+def format_status_line(status: InstanceStatus) -> str:
     """Returns one line about an instance."""
     record = status.record
     place = f"{record.instance} ({record.role}, {record.data_centre})"
@@ -134,9 +136,9 @@
     end_ms = clock.now_ms() + wait_ms
     running = -1
     while clock.now_ms() < end_ms:
-        status = ask_instance(found[0])
+        status = fetch_status(found[0])
         if not status.answered and found[0].http_port:
             return Drained()
         running = status.running if status.answered else -1
-        time.sleep(_POLL_S)
+        time.sleep(_POLL_INTERVAL_S)
     return StillRunning(running)
--- a/caroblug/bundle/_log.py
+++ b/caroblug/bundle/_log.py
@@ -21,8 +21,8 @@
 from caroblug.transport import LogService, LogUnavailable
 from caroblug.utils import Clock
 
-_RETRY_S = 0.3
-_LOOK_UPS = 3
+_RETRY_INTERVAL_S = 0.3
+_MAX_LOOK_UPS = 3
 
 
 @attrs.frozen
@@ -39,7 +39,7 @@
 
 
 @attrs.frozen
-class Beaten:
+class Superseded:
     """Another record won.
 
     Attributes:
@@ -52,7 +52,7 @@
 
 
 @attrs.frozen
-class Unknown:
+class Unconfirmed:
     """The log gave no answer in time.
 
     Attributes:
@@ -114,13 +114,13 @@
                 page.end_offset,
             )
             for outcome in outcomes:
-                self._note(outcome)
+                self._record_outcome(outcome)
             if page.next_offset >= page.end_offset:
                 return None
 
     def publish(
         self, record: BundleRecord, wait_ms: int
-    ) -> Accepted | Beaten | Rejected | Unknown:
+    ) -> Accepted | Superseded | Rejected | Unconfirmed:
         """Appends a record and tells what became of it.
 
         An append whose answer is lost is looked up from the offset read so
@@ -154,27 +154,27 @@
                 message = outcome.message
                 maybe_written = maybe_written or outcome.maybe_written
             if self._clock.now_ms() >= end_ms:
-                return Unknown(message, maybe_written)
-            time.sleep(_RETRY_S)
+                return Unconfirmed(message, maybe_written)
+            time.sleep(_RETRY_INTERVAL_S)
 
     def _look_up(
         self, record: BundleRecord, maybe_written: bool
-    ) -> Accepted | Beaten | Rejected | LogUnavailable | None:
+    ) -> Accepted | Superseded | Rejected | LogUnavailable | None:
         """Reads on; returns None if the record is to be appended."""
-        for attempt in range(_LOOK_UPS if maybe_written else 1):
+        for attempt in range(_MAX_LOOK_UPS if maybe_written else 1):
             if attempt:
-                time.sleep(_RETRY_S)
+                time.sleep(_RETRY_INTERVAL_S)
             failed = self.read()
             if failed is not None:
                 return failed
-            verdict = self._verdict(record)
+            verdict = self._find_result(record)
             if verdict is not None:
                 return verdict
         return None
 
-    def _verdict(
+    def _find_result(
         self, record: BundleRecord
-    ) -> Accepted | Beaten | Rejected | None:
+    ) -> Accepted | Superseded | Rejected | None:
         version = self._accepted.get(record.digest)
         if version is not None:
             return Accepted(version, 0)
@@ -184,12 +184,12 @@
         head = self.head
         parent = head.digest if head else ""
         if record.parent != parent:
-            return Beaten(
+            return Superseded(
                 head.version if head else 0, head.digest if head else ""
             )
         return None
 
-    def _note(self, outcome: Outcome) -> None:
+    def _record_outcome(self, outcome: Outcome) -> None:
         if isinstance(outcome, Applied):
             head = outcome.head
             self._accepted[head.digest] = head.version
--- a/caroblug/bundle/tests/test_commands.py
+++ b/caroblug/bundle/tests/test_commands.py
@@ -297,6 +297,6 @@
 def test_status_line_says_since_when():
     record = InstanceRecord("entry-a", "entry", "h", 1, "a", False, 2)
     status = _fleet.InstanceStatus(record, True, 7, 1500, True, 0)
-    line = _fleet.status_line(status)
+    line = _fleet.format_status_line(status)
     assert line.startswith("entry-a (entry, a): version 7 since 20")
     assert line.endswith("(1.5 s), ready")
--- a/caroblug/node/__init__.py
+++ b/caroblug/node/__init__.py
@@ -7,7 +7,7 @@
     NodeStatus,
     add_node_routes,
     add_status_route,
-    listen,
+    make_listener,
 )
 from caroblug.node._lifetime import Lifetime, run_program
 from caroblug.node._reference import describe_settings
@@ -25,7 +25,7 @@
     "add_node_routes",
     "describe_settings",
     "add_status_route",
-    "listen",
+    "make_listener",
     "make_fleet",
     "run_program",
 ]
--- a/caroblug/node/_bundles.py
+++ b/caroblug/node/_bundles.py
@@ -19,13 +19,13 @@
 )
 from caroblug.gen.wire import ttypes as wire
 from caroblug.node._exchange import (
-    Incoming,
+    IncomingHead,
     SectionServer,
-    checked_sections,
-    from_wire,
-    to_wire,
+    advert_from_wire,
+    advert_to_wire,
+    select_valid_sections,
 )
-from caroblug.node._members import Members, address_of
+from caroblug.node._members import Members, make_peer_address
 from caroblug.transport import (
     LogService,
     LogUnavailable,
@@ -36,14 +36,14 @@
 
 BUNDLE_STREAM = "caroblug.bundles"
 
-_WAIT_MS = 1000
+_READ_WAIT_MS = 1000
 _RETRY_S = 0.2
 _RETRY_JITTER_S = 0.2
-_TICK_S = 0.1
-_VIEW_TICKS = 5
-_BEAT_TICKS = 20
-_LISTEN_MS = 1000
-_NEWEST_MS = 200
+_TICK_INTERVAL_S = 0.1
+_VIEW_INTERVAL_TICKS = 5
+_HEARTBEAT_INTERVAL_TICKS = 20
+_FIRST_HEAD_TIMEOUT_MS = 1000
+_MAX_HEAD_WAIT_MS = 200
 _MS_PER_S = 1000
 
 
@@ -84,11 +84,11 @@
         self._on_head = on_head
         self._rng = rng
         self._server = SectionServer()
-        self._incoming: Incoming | None = None
+        self._incoming: IncomingHead | None = None
         self._peers: dict[str, PeerAddress] = {}
-        self._asked: set[str] = set()
-        self._ticks = rng.randrange(_BEAT_TICKS)
-        self._since_ms = clock.now_ms()
+        self._queried_peers: set[str] = set()
+        self._tick_count = rng.randrange(_HEARTBEAT_INTERVAL_TICKS)
+        self._in_force_since_ms = clock.now_ms()
         self._up_to_date = event.Event()
         self._up_to_date.set()
 
@@ -125,7 +125,7 @@
     @property
     def in_force_ms(self) -> int:
         """How long the head has been in force here."""
-        return self._clock.now_ms() - self._since_ms
+        return self._clock.now_ms() - self._in_force_since_ms
 
     def wait_for_newest_head(self) -> Head | None:
         """Returns the head, after a newer one that is on its way.
@@ -134,7 +134,7 @@
         give what they have told of goes on with what it has.
         """
         if self._dissemination.newer_head_known:
-            self._up_to_date.wait(_NEWEST_MS / _MS_PER_S)
+            self._up_to_date.wait(_MAX_HEAD_WAIT_MS / _MS_PER_S)
             if self._dissemination.newer_head_known:
                 self._metrics.count("bundle_waits_in_vain")
         return self.head
@@ -143,10 +143,10 @@
         """Follows for ever."""
         gevent.spawn(self._members.run)
         gevent.spawn(self._tick_forever)
-        self._listen()
+        self._wait_for_first_head()
         while True:
             if not self.should_read:
-                gevent.sleep(_TICK_S)
+                gevent.sleep(_TICK_INTERVAL_S)
             elif not self.read_log():
                 gevent.sleep(_RETRY_S + self._rng.random() * _RETRY_JITTER_S)
 
@@ -154,23 +154,24 @@
         """Takes a frame's messages about bundles."""
         now_ms = self._clock.now_ms()
         for advert in frame.bundle_adverts or ():
-            self._ask(
+            self._send_fetch(
                 self._dissemination.on_advert(
-                    peer.instance, from_wire(advert), now_ms
+                    peer.instance, advert_from_wire(advert), now_ms
                 )
             )
         for fetch in frame.bundle_fetches or ():
             self._send(peer, self._server.answer(fetch))
         for sections in frame.bundle_sections or ():
-            self._on_sections(peer, sections)
-        self._note_pending()
+            self._handle_sections(peer, sections)
+        self._update_up_to_date()
 
     def on_peer_up(self, peer: PeerAddress) -> None:
         """Tells a new peer about the head."""
         self._peers[peer.instance] = peer
         self._members.on_peer_up(peer)
         self._send(
-            peer, to_wire(self._dissemination.advert(self._clock.now_ms()))
+            peer,
+            advert_to_wire(self._dissemination.advert(self._clock.now_ms())),
         )
 
     def on_peer_lost(self, peer: PeerAddress) -> None:
@@ -178,26 +179,28 @@
         self._peers.pop(peer.instance, None)
         self._members.on_peer_lost(peer)
         now_ms = self._clock.now_ms()
-        self._ask(self._dissemination.on_peer_lost(peer.instance, now_ms))
-        self._note_pending()
+        self._send_fetch(
+            self._dissemination.on_peer_lost(peer.instance, now_ms)
+        )
+        self._update_up_to_date()
 
-    def _listen(self) -> None:
+    def _wait_for_first_head(self) -> None:
         """Lets peers speak first: their head saves reading the whole log."""
-        self._members.wait_listed(_LISTEN_MS)
+        self._members.wait_for_list(_FIRST_HEAD_TIMEOUT_MS)
         self._dissemination.on_view(self._members.view)
         self._members.connect(list(self._dissemination.neighbours))
-        end_ms = self._clock.now_ms() + _LISTEN_MS
+        end_ms = self._clock.now_ms() + _FIRST_HEAD_TIMEOUT_MS
         while self._dissemination.neighbours and self._clock.now_ms() < end_ms:
             if (
                 self.head is not None
                 and not self._dissemination.newer_head_known
             ):
                 return
-            gevent.sleep(_TICK_S)
+            gevent.sleep(_TICK_INTERVAL_S)
 
     def read_log(self) -> bool:
         """Reads the log once; returns whether it gave an answer."""
-        wait_ms = _WAIT_MS if self._dissemination.is_reader else 0
+        wait_ms = _READ_WAIT_MS if self._dissemination.is_reader else 0
         records = self._log.read(
             BUNDLE_STREAM, self._fold.next_offset, wait_ms=wait_ms
         )
@@ -213,10 +216,10 @@
         )
         if records.next_offset >= records.end_offset:
             self._dissemination.on_log_end(now_ms)
-        self._take(outcomes)
+        self._apply_outcomes(outcomes)
         return True
 
-    def _take(self, outcomes: Iterable[object]) -> None:
+    def _apply_outcomes(self, outcomes: Iterable[object]) -> None:
         """Counts outcomes, and brings the last head into force."""
         applied: Head | None = None
         for outcome in outcomes:
@@ -229,102 +232,106 @@
             elif isinstance(outcome, Rejected):
                 log_state("bundle.rejected", reason=outcome.reason)
         if applied is not None:
-            self._bring_into_force(applied)
+            self._activate(applied)
         if self._fold.missing is not None:
-            self._ask_missing()
+            self._fetch_missing_sections()
 
-    def _bring_into_force(self, head: Head) -> None:
+    def _activate(self, head: Head) -> None:
         """Puts a head into force and tells every peer at once.
 
         The advert is queued before anything that is decided under the new
         head, and a connection keeps its order: a peer that reads such a
         message has heard of the head before.
         """
-        self._since_ms = self._clock.now_ms()
+        self._in_force_since_ms = self._clock.now_ms()
         self._incoming = None
         self._server.on_head(head)
         self._dissemination.on_head(head.version, head.digest, head.offset)
         self._metrics.gauge("bundle_version", head.version)
         log_state("bundle.applied", version=head.version, digest=head.digest)
-        advert = to_wire(self._dissemination.advert(self._since_ms))
+        advert = advert_to_wire(
+            self._dissemination.advert(self._in_force_since_ms)
+        )
         for peer in list(self._peers.values()):
             self._send(peer, advert)
-        self._note_pending()
+        self._update_up_to_date()
         self._on_head(head)
 
-    def _ask(self, fetch: Fetch | None) -> None:
+    def _send_fetch(self, fetch: Fetch | None) -> None:
         if fetch is None:
             return
         peer = self._peers.get(fetch.peer)
         if peer is None:
             return
         held = self.head.bodies() if self.head else {}
-        self._incoming = Incoming(fetch.peer, frozenset(held))
+        self._incoming = IncomingHead(fetch.peer, frozenset(held))
         base = self.head.digest if self.head else ""
         self._metrics.count("bundle_fetches")
         self._send(peer, wire.BundleFetch(fetch.digest, base, []))
 
-    def _on_sections(
+    def _handle_sections(
         self, peer: PeerAddress, message: wire.BundleSections
     ) -> None:
         if self._fold.missing is not None and not message.record:
-            self._on_missing_sections(peer, message)
+            self._handle_missing_sections(peer, message)
         incoming = self._incoming
         if incoming is None or incoming.peer != peer.instance:
             return
         now_ms = self._clock.now_ms()
-        if not incoming.take(message):
+        if not incoming.add_part(message):
             self._metrics.count("bundle_fetches_failed")
             self._incoming = None
-            self._ask(
+            self._send_fetch(
                 self._dissemination.on_fetch_failed(peer.instance, now_ms)
             )
             return
-        lacking = incoming.lacking()
-        if lacking:
+        missing_hashes = incoming.missing_hashes()
+        if missing_hashes:
             self._dissemination.on_progress(peer.instance, now_ms)
             digest = incoming.record.digest
-            self._send(peer, wire.BundleFetch(digest, "", lacking))
+            self._send(peer, wire.BundleFetch(digest, "", missing_hashes))
             return
         outcome = self._fold.on_peer_head(
             incoming.record, incoming.offset, incoming.sections
         )
         self._incoming = None
-        self._take([outcome])
+        self._apply_outcomes([outcome])
         if isinstance(outcome, Applied | Ignored):
             return
-        self._ask(self._dissemination.on_fetch_failed(peer.instance, now_ms))
+        self._send_fetch(
+            self._dissemination.on_fetch_failed(peer.instance, now_ms)
+        )
 
-    def _ask_missing(self) -> None:
+    def _fetch_missing_sections(self) -> None:
         """Asks one more peer for sections that the log no longer holds."""
         missing = self._fold.missing
-        fresh = [p for p in self._peers if p not in self._asked]
+        fresh = [p for p in self._peers if p not in self._queried_peers]
         if missing is None or not fresh:
             return
-        self._asked.add(fresh[0])
+        self._queried_peers.add(fresh[0])
         hashes = list(missing.hashes)
         fetch = wire.BundleFetch(missing.digest, "", hashes)
         self._send(self._peers[fresh[0]], fetch)
 
-    def _on_missing_sections(
+    def _handle_missing_sections(
         self, peer: PeerAddress, message: wire.BundleSections
     ) -> None:
-        found = checked_sections(message.sections or {})
-        if found:
-            self._asked.discard(peer.instance)
-            self._take(self._fold.on_sections(found))
-        elif self._asked >= self._peers.keys():
-            self._asked.clear()
-            self._take(self._fold.discard_missing())
+        valid_sections = select_valid_sections(message.sections or {})
+        if valid_sections:
+            self._queried_peers.discard(peer.instance)
+            self._apply_outcomes(self._fold.on_sections(valid_sections))
+        elif self._queried_peers >= self._peers.keys():
+            self._queried_peers.clear()
+            self._apply_outcomes(self._fold.discard_missing())
         else:
-            self._ask_missing()
+            self._fetch_missing_sections()
 
     def _send(self, peer: PeerAddress, message: object) -> None:
         kind = type(message).__name__
         self._metrics.count("bundle_messages", kind=kind)
         self._network.send(peer, message)
 
-    def _note_pending(self) -> None:
+    def _update_up_to_date(self) -> None:
         if self._dissemination.newer_head_known:
             self._up_to_date.clear()
         else:
@@ -332,27 +339,27 @@
 
     def _tick_forever(self) -> None:
         while True:
-            gevent.sleep(_TICK_S)
+            gevent.sleep(_TICK_INTERVAL_S)
             self.tick()
 
     def tick(self) -> None:
         """Looks for late answers; now and then for members and neighbours."""
-        self._ticks += 1
+        self._tick_count += 1
         now_ms = self._clock.now_ms()
-        self._ask(self._dissemination.on_tick(now_ms))
-        self._note_pending()
-        if self._ticks % _VIEW_TICKS == 0:
+        self._send_fetch(self._dissemination.on_tick(now_ms))
+        self._update_up_to_date()
+        if self._tick_count % _VIEW_INTERVAL_TICKS == 0:
             self._dissemination.on_view(self._members.view)
             self._members.connect(list(self._dissemination.neighbours))
-        if self._ticks % _BEAT_TICKS == 0:
-            self._beat(now_ms)
+        if self._tick_count % _HEARTBEAT_INTERVAL_TICKS == 0:
+            self._send_heartbeats(now_ms)
 
-    def _beat(self, now_ms: int) -> None:
+    def _send_heartbeats(self, now_ms: int) -> None:
         """Tells neighbours how old this instance's sight of the log is."""
-        advert = to_wire(self._dissemination.advert(now_ms))
+        advert = advert_to_wire(self._dissemination.advert(now_ms))
         for member in self._dissemination.neighbours:
             if self._network.is_connected(member.instance):
-                self._send(address_of(member), advert)
+                self._send(make_peer_address(member), advert)
         if self._fold.missing is not None:
-            self._asked.clear()
-            self._ask_missing()
+            self._queried_peers.clear()
+            self._fetch_missing_sections()
--- a/caroblug/node/_exchange.py
+++ b/caroblug/node/_exchange.py
@@ -14,8 +14,8 @@
 )
 from caroblug.gen.wire import ttypes as wire
 
-_KNOWN_HEADS = 32
-_REPLY_BYTES = 1024 * 1024
+_MAX_REMEMBERED_HEADS = 32
+_MAX_REPLY_BYTES = 1024 * 1024
 
 
 class SectionServer:
@@ -29,7 +29,7 @@
         self._head: Head | None = None
         self._bodies: dict[str, bytes] = {}
         self._record = b""
-        self._known: collections.OrderedDict[str, frozenset[str]] = (
+        self._hashes_by_digest: collections.OrderedDict[str, frozenset[str]] = (
             collections.OrderedDict()
         )
 
@@ -38,9 +38,9 @@
         self._head = head
         self._bodies = head.bodies()
         self._record = encode_record(head.record)
-        self._known[head.digest] = frozenset(self._bodies)
-        while len(self._known) > _KNOWN_HEADS:
-            self._known.popitem(last=False)
+        self._hashes_by_digest[head.digest] = frozenset(self._bodies)
+        while len(self._hashes_by_digest) > _MAX_REMEMBERED_HEADS:
+            self._hashes_by_digest.popitem(last=False)
 
     def answer(self, fetch: wire.BundleFetch) -> wire.BundleSections:
         """Returns the head and what the peer lacks, a megabyte at most.
@@ -51,27 +51,27 @@
         if head is None:
             return wire.BundleSections(fetch.digest, 0, b"", {})
         if fetch.hashes:
-            wanted = fetch.hashes
+            requested = fetch.hashes
             record = b""
         else:
-            base = self._known.get(fetch.base or "")
-            wanted = () if base is None else self._bodies.keys() - base
+            base = self._hashes_by_digest.get(fetch.base or "")
+            requested = () if base is None else self._bodies.keys() - base
             record = self._record
         sections: dict[str, bytes] = {}
         size = 0
-        for key in wanted:
+        for key in requested:
             body = self._bodies.get(key)
             if body is None:
                 continue
             size += len(body)
-            if size > _REPLY_BYTES and sections:
+            if size > _MAX_REPLY_BYTES and sections:
                 break
             sections[key] = body
         return wire.BundleSections(head.digest, head.offset, record, sections)
 
 
 @attrs.define
-class Incoming:
+class IncomingHead:
     """A head on its way from a peer.
 
     Attributes:
@@ -88,7 +88,7 @@
     offset: int = 0
     sections: dict[str, bytes] = attrs.field(factory=dict)
 
-    def take(self, message: wire.BundleSections) -> bool:
+    def add_part(self, message: wire.BundleSections) -> bool:
         """Takes a part; returns whether it brought anything."""
         if message.record:
             record = decode_record(message.record)
@@ -98,31 +98,31 @@
             self.offset = message.offset or 0
         if self.record is None or message.digest != self.record.digest:
             return False
-        checked = checked_sections(message.sections or {})
-        self.sections.update(checked)
-        return bool(checked) or bool(message.record)
+        valid_sections = select_valid_sections(message.sections or {})
+        self.sections.update(valid_sections)
+        return bool(valid_sections) or bool(message.record)
 
-    def lacking(self) -> list[str]:
+    def missing_hashes(self) -> list[str]:
         """Returns the content hashes still to be asked for."""
         if self.record is None:
             return []
-        wanted = set(self.record.manifest.values())
-        return sorted(wanted - self.held - self.sections.keys())
+        requested = set(self.record.manifest.values())
+        return sorted(requested - self.held - self.sections.keys())
 
 
-def checked_sections(sections: dict[str, bytes]) -> dict[str, bytes]:
+def select_valid_sections(sections: dict[str, bytes]) -> dict[str, bytes]:
     """Returns those sections that have the hash they are named by."""
     return {k: v for k, v in sections.items() if section_hash(v) == k}
 
 
-def to_wire(advert: Advert) -> wire.BundleAdvert:
+def advert_to_wire(advert: Advert) -> wire.BundleAdvert:
     """Returns an advert as it is sent."""
     return wire.BundleAdvert(
         advert.version, advert.digest, advert.offset, advert.log_age_ms
     )
 
 
-def from_wire(advert: wire.BundleAdvert) -> Advert:
+def advert_from_wire(advert: wire.BundleAdvert) -> Advert:
     """Returns an advert that was received."""
     return Advert(
         advert.version or 0,
--- a/caroblug/node/_fleet.py
+++ b/caroblug/node/_fleet.py
@@ -17,7 +17,7 @@
 from caroblug.node._http import NodeStatus
 from caroblug.node._members import Members
 from caroblug.node._settings import NodeSettings
-from caroblug.node._snapshots import SnapshotKeeper
+from caroblug.node._snapshots import SnapshotWriter
 from caroblug.transport import (
     LogService,
     PeerAddress,
@@ -41,7 +41,7 @@
         self,
         members: Members,
         bundles: BundleFollower,
-        snapshots: SnapshotKeeper,
+        snapshots: SnapshotWriter,
     ) -> None:
         self.members = members
         self.bundles = bundles
@@ -148,7 +148,7 @@
         on_head,
         rng,
     )
-    snapshots = SnapshotKeeper(
+    snapshots = SnapshotWriter(
         log,
         bundles,
         members,
--- a/caroblug/node/_http.py
+++ b/caroblug/node/_http.py
@@ -11,7 +11,7 @@
 from caroblug.utils import Metrics
 
 _BACKLOG = 1024
-_METRICS_TYPE = "text/plain; version=0.0.4; charset=utf-8"
+_METRICS_CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
 
 
 @attrs.frozen
@@ -39,13 +39,13 @@
     running: int
 
 
-class _Health:
+class _HealthResource:
     def on_get(self, request: falcon.Request, response: falcon.Response):
         del request
         response.media = {"status": "ok"}
 
 
-class _Ready:
+class _ReadinessResource:
     def __init__(self, ready: Callable[[], bool]) -> None:
         self._ready = ready
 
@@ -58,32 +58,32 @@
         )
 
 
-class _MetricsText:
+class _MetricsResource:
     def __init__(self, metrics: Metrics) -> None:
         self._metrics = metrics
 
     def on_get(self, request: falcon.Request, response: falcon.Response):
         del request
         response.data = self._metrics.expose()
-        response.content_type = _METRICS_TYPE
+        response.content_type = _METRICS_CONTENT_TYPE
 
 
 def add_node_routes(
     app: falcon.App, metrics: Metrics, ready: Callable[[], bool]
 ) -> None:
     """Adds `/healthz`, `/readyz` and `/metrics`."""
-    app.add_route("/healthz", _Health())
-    app.add_route("/readyz", _Ready(ready))
-    app.add_route("/metrics", _MetricsText(metrics))
-    app.add_error_handler(AssertionError, _stop)
+    app.add_route("/healthz", _HealthResource())
+    app.add_route("/readyz", _ReadinessResource(ready))
+    app.add_route("/metrics", _MetricsResource(metrics))
+    app.add_error_handler(AssertionError, _handle_broken_invariant)
 
 
-def _stop(request, response, error, params) -> None:
+def _handle_broken_invariant(request, response, error, params) -> None:
     del request, response, params
     report_broken_invariant(error)
 
 
-class _Status:
+class _StatusResource:
     def __init__(self, status: Callable[[], NodeStatus]) -> None:
         self._status = status
 
@@ -94,10 +94,10 @@
 
 def add_status_route(app: falcon.App, status: Callable[[], NodeStatus]) -> None:
     """Adds `/status`, which `caroblug-bundle` reads."""
-    app.add_route("/status", _Status(status))
+    app.add_route("/status", _StatusResource(status))
 
 
-class _Handler(pywsgi.WSGIHandler):
+class _DirectSendHandler(pywsgi.WSGIHandler):
     """Sends small pieces by one call.
 
     `sendall` of a gevent socket asks the kernel for the buffer's size and
@@ -115,7 +115,7 @@
             super()._sendall(data[sent:])
 
 
-class _Counted:
+class _InFlightCounter:
     """Counts the requests that are not wholly answered yet.
 
     Guards against an instance that exits while a request is only about to
@@ -127,22 +127,24 @@
         self._app = app
         self.in_flight = 0
 
-    def __call__(self, environ: dict, start_response: Any) -> "_CountedBody":
+    def __call__(
+        self, environ: dict, start_response: Any
+    ) -> "_CountedResponseBody":
         self.in_flight += 1
         try:
             body = self._app(environ, start_response)
         except BaseException:
             self.in_flight -= 1
             raise
-        return _CountedBody(body, self)
+        return _CountedResponseBody(body, self)
 
 
-class _CountedBody:
+class _CountedResponseBody:
     """The body of an answer; the server closes it once all is sent."""
 
-    def __init__(self, body: Iterable[bytes], counted: _Counted) -> None:
+    def __init__(self, body: Iterable[bytes], owner: _InFlightCounter) -> None:
         self._body = body
-        self._counted = counted
+        self._owner = owner
         self._closed = False
 
     def __iter__(self) -> Iterator[bytes]:
@@ -152,7 +154,7 @@
         if self._closed:
             return
         self._closed = True
-        self._counted.in_flight -= 1
+        self._owner.in_flight -= 1
         close = getattr(self._body, "close", None)
         if close is not None:
             close()
@@ -168,13 +170,13 @@
     """
 
     def __init__(self, host: str, port: int, app: falcon.App) -> None:
-        self._app = _Counted(app)
+        self._app = _InFlightCounter(app)
         self._server = pywsgi.WSGIServer(
-            listen(host, port),
+            make_listener(host, port),
             self._app,
             log=None,
             error_log=None,
-            handler_class=_Handler,
+            handler_class=_DirectSendHandler,
             spawn=pool.Pool(),
         )
 
@@ -196,7 +198,7 @@
         self._server.stop(timeout=1)
 
 
-def listen(host: str, port: int) -> socket.socket:
+def make_listener(host: str, port: int) -> socket.socket:
     """Returns a listening socket whose connections send at once.
 
     Guards against a streamed token that waits for the caller's delayed
--- a/caroblug/node/_lifetime.py
+++ b/caroblug/node/_lifetime.py
@@ -25,10 +25,10 @@
 
 EXIT_OK = 0
 EXIT_USAGE = 2
-EXIT_BROKEN = 70
-_DRAIN_POLL_S = 0.05
-_LATE_MS = 20_000
-_LATE_EVERY_MS = 1000
+EXIT_INVARIANT_BROKEN = 70
+_DRAIN_POLL_INTERVAL_S = 0.05
+_LATE_PHASE_MS = 20_000
+_LATE_CALLBACK_INTERVAL_MS = 1000
 
 
 class Lifetime:
@@ -45,7 +45,7 @@
         self._drain_ms = drain_ms
         self._linger_ms = linger_ms
         self._leaving = event.Event()
-        self._left_ms = 0
+        self._drain_start_ms = 0
 
     @property
     def leaving(self) -> bool:
@@ -61,7 +61,7 @@
         """
         if not self.leaving:
             return True
-        return self._clock.now_ms() - self._left_ms < self._linger_ms
+        return self._clock.now_ms() - self._drain_start_ms < self._linger_ms
 
     def install_signal_handlers(self) -> None:
         """Lets SIGTERM and SIGINT begin the drain."""
@@ -72,40 +72,40 @@
         """Begins the drain."""
         if not self.leaving:
             log_state("program.leaving")
-            self._left_ms = self._clock.now_ms()
+            self._drain_start_ms = self._clock.now_ms()
             self._leaving.set()
 
     def wait(
         self,
-        on_leave: Callable[[], None],
+        on_drain_start: Callable[[], None],
         busy: Callable[[], bool],
-        on_late: Callable[[], None] | None = None,
+        on_late_drain: Callable[[], None] | None = None,
     ) -> None:
         """Blocks until the program has drained.
 
         Args:
-            on_leave: Called once when the drain begins.
+            on_drain_start: Called once when the drain begins.
             busy: Tells whether work is still running.
-            on_late: Called now and then once the end of the drain is near
+            on_late_drain: Called now and then once the end of the drain is near
                 and work is still running.
         """
         self._leaving.wait()
-        on_leave()
-        end_ms = self._left_ms + self._drain_ms
-        late_ms = end_ms - min(self._drain_ms // 2, _LATE_MS)
+        on_drain_start()
+        end_ms = self._drain_start_ms + self._drain_ms
+        next_late_ms = end_ms - min(self._drain_ms // 2, _LATE_PHASE_MS)
         while self.accepting or busy():
             now_ms = self._clock.now_ms()
             if now_ms >= end_ms:
                 break
-            if on_late is not None and now_ms >= late_ms:
-                on_late()
-                late_ms = now_ms + _LATE_EVERY_MS
-            gevent.sleep(_DRAIN_POLL_S)
+            if on_late_drain is not None and now_ms >= next_late_ms:
+                on_late_drain()
+                next_late_ms = now_ms + _LATE_CALLBACK_INTERVAL_MS
+            gevent.sleep(_DRAIN_POLL_INTERVAL_S)
         log_state("program.stopped", cut_short=busy())
 
 
 def stop_on_broken_invariant() -> None:
-    """Lets an exception that ends a greenlet stop the process.
+    """Lets an exception that ends_greenlet a greenlet stop the process.
 
     Guards against a greenlet that dies alone: gevent would print the trace
     and the process would go on without its watch or with a state known to be
@@ -116,8 +116,8 @@
     handle_error = hub.handle_error
 
     def _handle_error(context, kind, value, trace) -> None:
-        ends = isinstance(context, gevent.Greenlet)
-        if ends and kind is not None and issubclass(kind, Exception):
+        ends_greenlet = isinstance(context, gevent.Greenlet)
+        if ends_greenlet and kind is not None and issubclass(kind, Exception):
             report_broken_invariant(value)
         handle_error(context, kind, value, trace)
 
@@ -125,11 +125,11 @@
 
 
 def report_broken_invariant(error: BaseException) -> None:
-    """Logs the trace of a broken invariant and ends the process."""
+    """Logs the trace of a broken invariant and ends_greenlet the process."""
     trace = "".join(traceback.format_exception(error))
     log_state("invariant.broken", trace=trace)
     sys.stderr.flush()
-    os._exit(EXIT_BROKEN)
+    os._exit(EXIT_INVARIANT_BROKEN)
 
 
 def run_program(
--- a/caroblug/node/_members.py
+++ b/caroblug/node/_members.py
@@ -13,8 +13,8 @@
 )
 from caroblug.utils import Clock, Metrics, log_state
 
-_RECORD_BYTES = 120
-_BUDGET_BYTES_PER_MS = 1
+_BYTES_PER_RECORD = 120
+_MAX_BYTES_PER_MS = 1
 
 
 class Members:
@@ -49,8 +49,8 @@
         self._metrics = metrics
         self._interval_ms = interval_ms
         self._withdrawn = event.Event()
-        self._listed = event.Event()
-        self._records: tuple[InstanceRecord, ...] = ()
+        self._list_read = event.Event()
+        self._listed_records: tuple[InstanceRecord, ...] = ()
 
     @property
     def own(self) -> Member:
@@ -65,29 +65,29 @@
     @property
     def listed(self) -> tuple[InstanceRecord, ...]:
         """What the list showed when it was last read."""
-        return self._records
+        return self._listed_records
 
     @property
     def withdrawn(self) -> event.Event:
         """Set once the platform's list shows this instance as leaving."""
         return self._withdrawn
 
-    def wait_listed(self, timeout_ms: int) -> None:
+    def wait_for_list(self, timeout_ms: int) -> None:
         """Waits until the list was read once, or in vain."""
-        self._listed.wait(timeout_ms / 1000)
+        self._list_read.wait(timeout_ms / 1000)
 
     def run(self) -> None:
         """Reads the list for ever."""
         while True:
             count = self.read_list()
-            grown_ms = count * _RECORD_BYTES / _BUDGET_BYTES_PER_MS
-            gevent.sleep(max(self._interval_ms, grown_ms) / 1000)
+            min_interval_ms = count * _BYTES_PER_RECORD / _MAX_BYTES_PER_MS
+            gevent.sleep(max(self._interval_ms, min_interval_ms) / 1000)
 
     def connect(self, members: list[Member]) -> None:
         """Dials the members that have no connection yet."""
         for member in members:
             if not self._network.is_connected(member.instance):
-                self._network.send(address_of(member))
+                self._network.send(make_peer_address(member))
 
     def on_peer_up(self, peer: PeerAddress) -> None:
         """Learns of a connection with a peer that has proved itself."""
@@ -114,16 +114,16 @@
         listed = self._instances.fetch()
         if isinstance(listed, InstancesUnavailable):
             self._metrics.count("instance_list_failures")
-            self._listed.set()
+            self._list_read.set()
             return 0
-        self._records = listed
+        self._listed_records = listed
         members = [
             Member(r.instance, r.role, r.host, r.port, r.data_centre)
             for r in listed
         ]
         leaving = [r.instance for r in listed if r.leaving]
         self._membership.on_listed(members, leaving)
-        self._listed.set()
+        self._list_read.set()
         self._metrics.count("instance_list_reads")
         self._metrics.gauge("members", len(self.view.members))
         if self._membership.withdrawn and not self._withdrawn.is_set():
@@ -132,7 +132,7 @@
         return len(listed)
 
 
-def address_of(member: Member) -> PeerAddress:
+def make_peer_address(member: Member) -> PeerAddress:
     """Returns where a member listens for its peers."""
     return PeerAddress(
         member.instance,
--- a/caroblug/node/_reference.py
+++ b/caroblug/node/_reference.py
@@ -20,41 +20,45 @@
         "| key | allowed | default | what it is |",
         "|---|---|---|---|",
     ]
-    lines.extend(_rows(cls, ""))
+    lines.extend(_format_rows(cls, ""))
     return "\n".join(lines) + "\n"
 
 
-def _rows(cls: type, prefix: str) -> list[str]:
+def _format_rows(cls: type, prefix: str) -> list[str]:
     rows = []
     hints = typing.get_type_hints(cls)
     for field in attrs.fields(cls):
-        nested = _nested(hints[field.name])
+        nested = _find_nested_class(hints[field.name])
         key = f"{prefix}{field.name}"
         if nested is not None:
-            rows.extend(_rows(nested, f"{key}."))
+            rows.extend(_format_rows(nested, f"{key}."))
             continue
-        allowed = field.metadata.get("allowed", _type_name(hints[field.name]))
-        doc = field.metadata.get("doc") or _from_docstring(cls, field.name)
-        rows.append(f"| `{key}` | {allowed} | {_default(field)} | {doc} |")
+        allowed = field.metadata.get(
+            "allowed", _describe_type(hints[field.name])
+        )
+        doc = field.metadata.get("doc") or _read_attribute_doc(cls, field.name)
+        rows.append(
+            f"| `{key}` | {allowed} | {_format_default(field)} | {doc} |"
+        )
     return rows
 
 
-def _nested(hint: Any) -> type | None:
+def _find_nested_class(hint: Any) -> type | None:
     if typing.get_origin(hint) in (types.UnionType, typing.Union):
         options = [a for a in typing.get_args(hint) if a is not type(None)]
         hint = options[0]
     return hint if isinstance(hint, type) and attrs.has(hint) else None
 
 
-def _type_name(hint: Any) -> str:
+def _describe_type(hint: Any) -> str:
     if typing.get_origin(hint) is list:
-        return f"list of {_type_name(typing.get_args(hint)[0])}"
+        return f"list of {_describe_type(typing.get_args(hint)[0])}"
     return {str: "text", int: "whole number", float: "number"}.get(
         hint, str(hint)
     )
 
 
-def _default(field: attrs.Attribute) -> str:
+def _format_default(field: attrs.Attribute) -> str:
     if field.default is attrs.NOTHING:
         return "needed"
     if isinstance(field.default, attrs.Factory):
@@ -62,7 +66,7 @@
     return f"`{field.default}`"
 
 
-def _from_docstring(cls: type, name: str) -> str:
+def _read_attribute_doc(cls: type, name: str) -> str:
     """Returns what the class's `Attributes` section says of a field."""
     for parent in cls.__mro__:
         for line in (parent.__doc__ or "").splitlines():
--- a/caroblug/node/_settings.py
+++ b/caroblug/node/_settings.py
@@ -14,7 +14,7 @@
 )
 
 MIN_KEY_CHARACTERS = 32
-_MAX_KEYS = 2
+_MAX_SHARED_KEYS = 2
 
 
 @attrs.frozen(kw_only=True)
@@ -133,7 +133,7 @@
         keys = settings.shared_keys
     except (OSError, UnicodeDecodeError):
         return SettingProblem(file, key, "cannot be read")
-    if not 1 <= len(keys) <= _MAX_KEYS:
+    if not 1 <= len(keys) <= _MAX_SHARED_KEYS:
         return SettingProblem(file, key, "must hold one or two lines")
     if any(len(k) < MIN_KEY_CHARACTERS for k in keys):
         return SettingProblem(
--- a/caroblug/node/_snapshots.py
+++ b/caroblug/node/_snapshots.py
@@ -18,10 +18,10 @@
 from caroblug.transport import LogService, LogUnavailable
 from caroblug.utils import Clock, Metrics, log_state
 
-_TICK_S = 0.2
+_TICK_INTERVAL_S = 0.2
 
 
-class SnapshotKeeper:
+class SnapshotWriter:
     """Keeps a whole copy of the head in the log.
 
     Args:
@@ -53,55 +53,57 @@
         self._metrics = metrics
         self._key = key
         self._schedule = SnapshotSchedule(retention_ms, rng, clock.now_ms())
-        self._seen: int | None = None
+        self._newest_offset: int | None = None
         self._caught_up = False
 
     def run(self) -> None:
         """Keeps it for ever."""
         while True:
-            gevent.sleep(_TICK_S)
-            self._note_snapshot()
+            gevent.sleep(_TICK_INTERVAL_S)
+            self._track_snapshot()
             self._caught_up = self._bundles.at_log_end
             head = self._bundles.head
             if head is None or not self._bundles.is_reader:
                 continue
             now_ms = self._clock.now_ms()
             if self._schedule.should_check(now_ms):
-                self._check()
+                self._verify_snapshot()
             now_ms = self._clock.now_ms()
             may_be_due = self._schedule.is_due(now_ms, 0)
-            if may_be_due and self._schedule.is_due(now_ms, self._rank(head)):
-                self._append(head)
+            if may_be_due and self._schedule.is_due(
+                now_ms, self._rank_among_readers(head)
+            ):
+                self._append_snapshot(head)
 
-    def _note_snapshot(self) -> None:
+    def _track_snapshot(self) -> None:
         """Starts the schedule anew for a snapshot that has just come.
 
         One that was in the log before this instance says nothing about when
         it expires.
         """
         offset = self._bundles.fold.snapshot_offset
-        if offset == self._seen:
+        if offset == self._newest_offset:
             return
-        self._seen = offset
+        self._newest_offset = offset
         if self._caught_up:
             self._schedule.on_snapshot(self._clock.now_ms())
 
-    def _check(self) -> None:
+    def _verify_snapshot(self) -> None:
         """Looks whether the newest snapshot is still in the log.
 
         Guards against a log that has dropped more than it should, or an
         outage longer than its retention: the snapshot is then due at once.
         """
-        if self._seen is None:
+        if self._newest_offset is None:
             return
-        found = self._log.read(BUNDLE_STREAM, self._seen, limit=1)
+        found = self._log.read(BUNDLE_STREAM, self._newest_offset, limit=1)
         if isinstance(found, LogUnavailable):
             return
-        if not found.records or found.records[0].offset != self._seen:
-            log_state("bundle.snapshot_gone", offset=self._seen)
+        if not found.records or found.records[0].offset != self._newest_offset:
+            log_state("bundle.snapshot_gone", offset=self._newest_offset)
             self._schedule.on_snapshot_expired(self._clock.now_ms())
 
-    def _append(self, head: Head) -> None:
+    def _append_snapshot(self, head: Head) -> None:
         record = attrs.evolve(head.record, sections=head.bodies())
         data = encode_snapshot(Snapshot(record, head.offset), self._key)
         outcome = self._log.append(BUNDLE_STREAM, data)
@@ -112,7 +114,7 @@
         self._metrics.count("bundle_snapshots", outcome="appended")
         self._schedule.on_snapshot(self._clock.now_ms())
 
-    def _rank(self, head: Head) -> int:
+    def _rank_among_readers(self, head: Head) -> int:
         view = self._members.view
         readers = [
             member
