--- a/caroblug/node/__init__.py
+++ b/caroblug/node/__init__.py
@@ -1,4 +1,4 @@
-"""What entry and side have in common: settings, bundles, lifetime."""
+"""Shared parts of entry and side: settings, bundles, HTTP and lifetime."""
 
 from caroblug.node._bundles import BUNDLE_STREAM, BundleFollower
 from caroblug.node._fleet import Fleet, make_fleet
--- a/caroblug/node/_bundles.py
+++ b/caroblug/node/_bundles.py
@@ -1,4 +1,4 @@
-"""Follows the bundles: on the log, and by what peers say."""
+"""Tracks the newest bundle through the log and through peer exchange."""
 
 import random
 from collections.abc import Callable, Iterable
@@ -48,16 +48,17 @@
 
 
 class BundleFollower:
-    """Keeps the newest bundle in force at one instance.
+    """Keeps the newest known bundle in force on one instance.
 
     Args:
         log: The log service.
-        fold: The fold of the records.
-        dissemination: Decides whom to ask and when to read the log.
-        members: The view of the members.
-        network: Connections with peers.
+        fold: Folds the log's records into the head.
+        dissemination: Decides which peers to fetch from and when to read
+            the log.
+        members: The current members of the fleet.
+        network: Connections to peers.
         clock: Source of time.
-        metrics: Where records and messages are counted.
+        metrics: Counts records and messages.
         on_head: Called with each new head.
         rng: Source of jitter.
     """
@@ -94,44 +95,44 @@
 
     @property
     def head(self) -> Head | None:
-        """The bundle in force."""
+        """The bundle in force; None before the first one."""
         return self._fold.head
 
     @property
     def fold(self) -> BundleFold:
-        """The fold of the records."""
+        """The fold that computes the head from the log's records."""
         return self._fold
 
     @property
     def is_reader(self) -> bool:
-        """Whether this instance is one of those that read the log."""
+        """Whether this instance is one of the log readers."""
         return self._dissemination.is_reader
 
     @property
     def should_read(self) -> bool:
-        """Whether it is for this instance to read the log now."""
+        """Whether this instance should read the log now."""
         return self._dissemination.should_read(self._clock.now_ms())
 
     @property
     def at_log_end(self) -> bool:
-        """Whether this instance has read the log to its end once."""
+        """Whether this instance has read the log to its end at least once."""
         return self._dissemination.has_read_log
 
     @property
     def ready(self) -> bool:
-        """Whether the head is known to be the newest within reach."""
+        """Whether there is enough evidence that the head is the newest one."""
         return self._dissemination.is_ready(self._clock.now_ms())
 
     @property
     def in_force_ms(self) -> int:
-        """How long the head has been in force here."""
+        """Milliseconds since the head came into force on this instance."""
         return self._clock.now_ms() - self._in_force_since_ms
 
     def wait_for_newest_head(self) -> Head | None:
-        """Returns the head, after a newer one that is on its way.
+        """Returns the head, after waiting for a newer one that was advertised.
 
-        Waits a fifth of a second at most: an instance whose peers cannot
-        give what they have told of goes on with what it has.
+        Waits at most 200 ms. If no peer delivers the newer head by then, the
+        instance continues with the head it has.
         """
         if self._dissemination.newer_head_known:
             self._up_to_date.wait(_MAX_HEAD_WAIT_MS / _MS_PER_S)
@@ -140,7 +141,7 @@
         return self.head
 
     def run(self) -> None:
-        """Follows for ever."""
+        """Tracks the bundle until the process ends."""
         gevent.spawn(self._members.run)
         gevent.spawn(self._tick_forever)
         self._wait_for_first_head()
@@ -151,7 +152,7 @@
                 gevent.sleep(_RETRY_S + self._rng.random() * _RETRY_JITTER_S)
 
     def on_frame(self, peer: PeerAddress, frame: wire.Frame) -> None:
-        """Takes a frame's messages about bundles."""
+        """Handles the bundle messages of a frame."""
         now_ms = self._clock.now_ms()
         for advert in frame.bundle_adverts or ():
             self._send_fetch(
@@ -166,7 +167,7 @@
         self._update_up_to_date()
 
     def on_peer_up(self, peer: PeerAddress) -> None:
-        """Tells a new peer about the head."""
+        """Sends the advert of the head to a new peer."""
         self._peers[peer.instance] = peer
         self._members.on_peer_up(peer)
         self._send(
@@ -175,7 +176,7 @@
         )
 
     def on_peer_lost(self, peer: PeerAddress) -> None:
-        """Turns to another peer."""
+        """Removes a peer and moves a pending fetch to another one."""
         self._peers.pop(peer.instance, None)
         self._members.on_peer_lost(peer)
         now_ms = self._clock.now_ms()
@@ -185,7 +186,7 @@
         self._update_up_to_date()
 
     def _wait_for_first_head(self) -> None:
-        """Lets peers speak first: their head saves reading the whole log."""
+        """Waits for a head from a peer, which saves reading the whole log."""
         self._members.wait_for_list(_FIRST_HEAD_TIMEOUT_MS)
         self._dissemination.on_view(self._members.view)
         self._members.connect(list(self._dissemination.neighbours))
@@ -199,7 +200,11 @@
             gevent.sleep(_TICK_INTERVAL_S)
 
     def read_log(self) -> bool:
-        """Reads the log once; returns whether it gave an answer."""
+        """Reads the log once.
+
+        Returns:
+            Whether the log service returned records.
+        """
         wait_ms = _READ_WAIT_MS if self._dissemination.is_reader else 0
         records = self._log.read(
             BUNDLE_STREAM, self._fold.next_offset, wait_ms=wait_ms
@@ -220,7 +225,7 @@
         return True
 
     def _apply_outcomes(self, outcomes: Iterable[object]) -> None:
-        """Counts outcomes, and brings the last head into force."""
+        """Counts outcomes and brings the last applied head into force."""
         applied: Head | None = None
         for outcome in outcomes:
             kind = type(outcome).__name__.lower()
@@ -237,11 +242,11 @@
             self._fetch_missing_sections()
 
     def _activate(self, head: Head) -> None:
-        """Puts a head into force and tells every peer at once.
+        """Brings a head into force and sends its advert to every peer.
 
-        The advert is queued before anything that is decided under the new
-        head, and a connection keeps its order: a peer that reads such a
-        message has heard of the head before.
+        The advert is queued before any message that depends on the new head.
+        Connections preserve order, so a peer that reads such a message has
+        already received the advert.
         """
         self._in_force_since_ms = self._clock.now_ms()
         self._incoming = None
@@ -303,7 +308,7 @@
         )
 
     def _fetch_missing_sections(self) -> None:
-        """Asks one more peer for sections that the log no longer holds."""
+        """Requests sections that the log no longer holds from another peer."""
         missing = self._fold.missing
         fresh = [p for p in self._peers if p not in self._queried_peers]
         if missing is None or not fresh:
@@ -343,7 +348,10 @@
             self.tick()
 
     def tick(self) -> None:
-        """Looks for late answers; now and then for members and neighbours."""
+        """Handles fetch timeouts; refreshes neighbours and sends heartbeats.
+
+        Neighbours are refreshed every 5 ticks, heartbeats sent every 20.
+        """
         self._tick_count += 1
         now_ms = self._clock.now_ms()
         self._send_fetch(self._dissemination.on_tick(now_ms))
@@ -355,7 +363,10 @@
             self._send_heartbeats(now_ms)
 
     def _send_heartbeats(self, now_ms: int) -> None:
-        """Tells neighbours how old this instance's sight of the log is."""
+        """Sends neighbours an advert, which states the age of its log view.
+
+        Also requests sections that the log lacks from every peer again.
+        """
         advert = advert_to_wire(self._dissemination.advert(now_ms))
         for member in self._dissemination.neighbours:
             if self._network.is_connected(member.instance):
--- a/caroblug/node/_exchange.py
+++ b/caroblug/node/_exchange.py
@@ -1,4 +1,4 @@
-"""Adverts, fetches and sections between two instances."""
+"""Transfers bundle sections between two instances."""
 
 import collections
 
@@ -19,10 +19,10 @@
 
 
 class SectionServer:
-    """Answers peers that fetch from this instance's head.
+    """Serves the sections of this instance's head to peers.
 
-    It remembers which sections its last heads had, so that a peer that holds
-    one of them is sent only what has changed since.
+    Remembers which sections its last 32 heads had, so that a peer that has one
+    of them receives only the sections that changed since.
     """
 
     def __init__(self) -> None:
@@ -34,7 +34,7 @@
         )
 
     def on_head(self, head: Head) -> None:
-        """Takes the head that is now in force."""
+        """Sets the head to serve."""
         self._head = head
         self._bodies = head.bodies()
         self._record = encode_record(head.record)
@@ -43,9 +43,10 @@
             self._hashes_by_digest.popitem(last=False)
 
     def answer(self, fetch: wire.BundleFetch) -> wire.BundleSections:
-        """Returns the head and what the peer lacks, a megabyte at most.
+        """Returns the head's record and the sections that the peer lacks.
 
-        A peer that does not get all asks for the rest by content hash.
+        A reply is limited to 1 MiB of sections, but a single larger section
+        is sent whole. The peer fetches the rest by content hash.
         """
         head = self._head
         if head is None:
@@ -72,14 +73,14 @@
 
 @attrs.define
 class IncomingHead:
-    """A head on its way from a peer.
+    """A head that is being fetched from a peer.
 
     Attributes:
-        peer: The peer.
-        held: Content hashes that this instance has already.
-        record: The record, once it is there.
-        offset: Where the peer says that it was accepted.
-        sections: What has come of its sections, by content hash.
+        peer: Name of the peer.
+        held: Content hashes of the sections that this instance already has.
+        record: The record; None until it is received.
+        offset: Log offset at which it was accepted, according to the peer.
+        sections: The sections received so far, by content hash.
     """
 
     peer: str
@@ -89,7 +90,11 @@
     sections: dict[str, bytes] = attrs.field(factory=dict)
 
     def add_part(self, message: wire.BundleSections) -> bool:
-        """Takes a part; returns whether it brought anything."""
+        """Adds a received message.
+
+        Returns:
+            Whether it contained a record or a valid section of this head.
+        """
         if message.record:
             record = decode_record(message.record)
             if record is None:
@@ -103,27 +108,27 @@
         return bool(valid_sections) or bool(message.record)
 
     def missing_hashes(self) -> list[str]:
-        """Returns the content hashes still to be asked for."""
+        """Returns the content hashes of the sections still to be fetched."""
         if self.record is None:
             return []
-        requested = set(self.record.manifest.values())
-        return sorted(requested - self.held - self.sections.keys())
+        required = set(self.record.manifest.values())
+        return sorted(required - self.held - self.sections.keys())
 
 
 def select_valid_sections(sections: dict[str, bytes]) -> dict[str, bytes]:
-    """Returns those sections that have the hash they are named by."""
+    """Returns the sections whose content matches the hash in their key."""
     return {k: v for k, v in sections.items() if section_hash(v) == k}
 
 
 def advert_to_wire(advert: Advert) -> wire.BundleAdvert:
-    """Returns an advert as it is sent."""
+    """Converts an advert to its wire format."""
     return wire.BundleAdvert(
         advert.version, advert.digest, advert.offset, advert.log_age_ms
     )
 
 
 def advert_from_wire(advert: wire.BundleAdvert) -> Advert:
-    """Returns an advert that was received."""
+    """Converts a received advert from its wire format."""
     return Advert(
         advert.version or 0,
         advert.digest or "",
--- a/caroblug/node/_fleet.py
+++ b/caroblug/node/_fleet.py
@@ -1,4 +1,4 @@
-"""What every instance knows of the fleet: its members and its bundle."""
+"""Tracks the fleet's members and bundle on each instance."""
 
 import random
 from collections.abc import Callable
@@ -29,12 +29,12 @@
 
 
 class Fleet:
-    """An instance's part in membership and in spreading bundles.
+    """Runs membership and bundle dissemination for one instance.
 
     Args:
-        members: The view of the members.
-        bundles: The bundle in force.
-        snapshots: Keeps a copy of it in the log.
+        members: The current members of the fleet.
+        bundles: Tracks the bundle in force.
+        snapshots: Keeps a snapshot of the bundle in the log.
     """
 
     def __init__(
@@ -48,21 +48,22 @@
         self._snapshots = snapshots
 
     def start(self, on_withdrawn: Callable[[], None]) -> None:
-        """Begins to follow.
+        """Starts the background greenlets.
 
         Args:
-            on_withdrawn: Called when the list shows this instance leaving.
+            on_withdrawn: Called when the platform's instance list shows this
+                instance as leaving.
         """
         gevent.spawn(self.bundles.run)
         gevent.spawn(self._snapshots.run)
         gevent.spawn(self._await_withdrawal, on_withdrawn)
 
     def status(self, ready: bool, running: int) -> NodeStatus:
-        """Returns what this instance says of itself.
+        """Returns the status that this instance reports about itself.
 
         Args:
-            ready: Whether it takes new work.
-            running: Requests that run here.
+            ready: Whether it accepts new work.
+            running: Number of requests running on it.
         """
         head = self.bundles.head
         return NodeStatus(
@@ -77,7 +78,7 @@
         )
 
     def on_frame(self, peer: PeerAddress, frame: wire.Frame) -> None:
-        """Takes a frame's messages about bundles and members."""
+        """Handles the bundle and membership messages of a frame."""
         for report in frame.reports or ():
             if report.instance == peer.instance:
                 self.members.on_report(
@@ -86,11 +87,11 @@
         self.bundles.on_frame(peer, frame)
 
     def on_peer_up(self, peer: PeerAddress) -> None:
-        """Learns of a connection with a peer."""
+        """Records a new connection to a peer."""
         self.bundles.on_peer_up(peer)
 
     def on_peer_lost(self, peer: PeerAddress) -> None:
-        """Learns that a peer is gone."""
+        """Records the loss of a peer's connection."""
         self.bundles.on_peer_lost(peer)
 
     def _await_withdrawal(self, on_withdrawn: Callable[[], None]) -> None:
@@ -107,16 +108,16 @@
     on_head: Callable[[Head], None],
     log: LogService | None = None,
 ) -> Fleet:
-    """Returns an instance's part in the fleet.
+    """Creates the fleet tracking of one instance.
 
     Args:
         settings: The instance's settings.
         role: `entry` or `side`.
-        network: Connections with peers.
+        network: Connections to peers.
         clock: Source of time.
-        metrics: Where everything is counted.
+        metrics: Counts reads, records and messages.
         on_head: Called with each new head.
-        log: The log service; None takes that of the settings.
+        log: The log service; if None, the one named in the settings.
     """
     rng = random.Random(settings.instance)
     log = log or make_log_service(settings.log.host, settings.log.port)
--- a/caroblug/node/_http.py
+++ b/caroblug/node/_http.py
@@ -1,4 +1,4 @@
-"""The HTTP server of a program, with health and metrics."""
+"""HTTP server of entry and side, with health, metrics and status routes."""
 
 from collections.abc import Callable, Iterable, Iterator
 from typing import Any
@@ -16,17 +16,17 @@
 
 @attrs.frozen
 class NodeStatus:
-    """What an instance says of itself.
+    """Status that an instance reports about itself on `/status`.
 
     Attributes:
-        instance: Its name.
+        instance: Name of the instance.
         version: Version of the bundle in force; 0 if none.
-        digest: Its digest.
-        in_force_ms: For how long it has been in force.
-        reader: Whether this instance reads the log.
-        members: How many members it knows.
-        ready: Whether it takes new work.
-        running: Requests that run here.
+        digest: Digest of the bundle in force; empty if none.
+        in_force_ms: Time since that bundle came into force.
+        reader: Whether this instance is a log reader.
+        members: Number of fleet members it knows.
+        ready: Whether it accepts new work.
+        running: Number of requests running on it.
     """
 
     instance: str
@@ -71,7 +71,15 @@
 def add_node_routes(
     app: falcon.App, metrics: Metrics, ready: Callable[[], bool]
 ) -> None:
-    """Adds `/healthz`, `/readyz` and `/metrics`."""
+    """Adds the routes `/healthz`, `/readyz` and `/metrics`.
+
+    An AssertionError in any handler of the application ends the process.
+
+    Args:
+        app: The application.
+        metrics: Metrics to expose.
+        ready: Returns whether the instance accepts new work.
+    """
     app.add_route("/healthz", _HealthResource())
     app.add_route("/readyz", _ReadinessResource(ready))
     app.add_route("/metrics", _MetricsResource(metrics))
@@ -93,19 +101,19 @@
 
 
 def add_status_route(app: falcon.App, status: Callable[[], NodeStatus]) -> None:
-    """Adds `/status`, which `caroblug-bundle` reads."""
+    """Adds the route `/status`, which `caroblug-bundle` reads."""
     app.add_route("/status", _StatusResource(status))
 
 
 class _DirectSendHandler(pywsgi.WSGIHandler):
-    """Sends small pieces by one call.
+    """Sends small chunks with a single `send` call.
 
-    `sendall` of a gevent socket asks the kernel for the buffer's size and
-    cuts the data each time, which doubles the cost of a streamed token.
+    `sendall` of a gevent socket queries the kernel's buffer size and slices
+    the data on each call, which doubles the cost of a streamed token.
     """
 
     def _sendall(self, data: bytearray) -> None:
-        """Sends a piece; what does not fit or fails is left to gevent."""
+        """Sends a chunk; falls back to gevent for a partial or failed send."""
         try:
             sent = self.socket.send(data)
         except OSError:
@@ -116,11 +124,11 @@
 
 
 class _InFlightCounter:
-    """Counts the requests that are not wholly answered yet.
+    """Counts the requests whose response is not complete yet.
 
-    Guards against an instance that exits while a request is only about to
-    become work: it may still wait for its turn at its account's home, and no
-    stream or call of it is to be seen elsewhere.
+    Guards against an instance that exits before a request has opened a stream
+    or a call. Such a request, for example one that is queued at its account's
+    home entry, is visible nowhere else.
     """
 
     def __init__(self, app: falcon.App) -> None:
@@ -140,7 +148,10 @@
 
 
 class _CountedResponseBody:
-    """The body of an answer; the server closes it once all is sent."""
+    """Response body that ends the request's count when it is closed.
+
+    The server closes it after the last chunk is sent.
+    """
 
     def __init__(self, body: Iterable[bytes], owner: _InFlightCounter) -> None:
         self._body = body
@@ -161,11 +172,11 @@
 
 
 class NodeHttpServer:
-    """A WSGI server of one program.
+    """WSGI server that counts the requests in flight.
 
     Args:
         host: IP address to listen on.
-        port: Port.
+        port: TCP port to listen on.
         app: The application.
     """
 
@@ -182,28 +193,28 @@
 
     @property
     def in_flight(self) -> int:
-        """Requests that are not wholly answered yet."""
+        """Number of requests whose response is not complete yet."""
         return self._app.in_flight
 
     def start(self) -> None:
-        """Starts to accept."""
+        """Starts accepting connections."""
         self._server.start()
 
     def stop(self) -> None:
-        """Stops to accept and lets the last answers reach their callers.
+        """Stops accepting connections and waits up to 1 s for open responses.
 
-        Guards against an answer that is cut although its work is done: the
-        server waits only for handlers that run in a pool of its own.
+        Guards against a response that is cut although its work is done. The
+        server waits only for handlers in its own pool, so it is given one.
         """
         self._server.stop(timeout=1)
 
 
 def make_listener(host: str, port: int) -> socket.socket:
-    """Returns a listening socket whose connections send at once.
+    """Returns a listening socket whose connections send without delay.
 
-    Guards against a streamed token that waits for the caller's delayed
-    acknowledgement of the one before it (40 ms on Linux): accepted sockets
-    take over TCP_NODELAY from the listener.
+    Accepted sockets inherit TCP_NODELAY from the listener. Without it, a
+    streamed token waits for the caller's delayed acknowledgement of the
+    previous one (40 ms on Linux).
     """
     listener = socket.socket()
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
--- a/caroblug/node/_lifetime.py
+++ b/caroblug/node/_lifetime.py
@@ -1,4 +1,4 @@
-"""The lifetime of a program: settings, signals, draining, exit codes."""
+"""Program lifetime: command line, signals, draining and exit codes."""
 
 import argparse
 import os
@@ -32,12 +32,12 @@
 
 
 class Lifetime:
-    """Whether the program is running, draining or done.
+    """Tracks whether the program is running or draining.
 
     Args:
         clock: Source of time.
-        drain_ms: How long running work may take after SIGTERM.
-        linger_ms: Shortest time from SIGTERM to the exit.
+        drain_ms: Maximum time for running work to finish after SIGTERM.
+        linger_ms: Minimum time from SIGTERM to the exit.
     """
 
     def __init__(self, clock: Clock, drain_ms: int, linger_ms: int = 0) -> None:
@@ -49,27 +49,28 @@
 
     @property
     def leaving(self) -> bool:
-        """Whether a stop was asked for."""
+        """Whether the drain has begun."""
         return self._leaving.is_set()
 
     @property
     def accepting(self) -> bool:
-        """Whether callers' requests are still taken.
+        """Whether callers' requests are still accepted.
 
-        Guards against requests that the balancer sends to an instance which
-        has just said that it is no longer ready: it learns that late.
+        They are accepted for `linger_ms` after the drain has begun, because
+        the load balancer notices late that the instance is not ready and
+        still sends it requests.
         """
         if not self.leaving:
             return True
         return self._clock.now_ms() - self._drain_start_ms < self._linger_ms
 
     def install_signal_handlers(self) -> None:
-        """Lets SIGTERM and SIGINT begin the drain."""
+        """Makes SIGTERM and SIGINT begin the drain."""
         gevent.signal_handler(signal.SIGTERM, self.leave)
         gevent.signal_handler(signal.SIGINT, self.leave)
 
     def leave(self) -> None:
-        """Begins the drain."""
+        """Begins the drain; has no effect if it has already begun."""
         if not self.leaving:
             log_state("program.leaving")
             self._drain_start_ms = self._clock.now_ms()
@@ -85,9 +86,9 @@
 
         Args:
             on_drain_start: Called once when the drain begins.
-            busy: Tells whether work is still running.
-            on_late_drain: Called now and then once the end of the drain is near
-                and work is still running.
+            busy: Returns whether work is still running.
+            on_late_drain: Called every second in the last half of the drain
+                time, at most its last 20 s, while work is still running.
         """
         self._leaving.wait()
         on_drain_start()
@@ -105,12 +106,11 @@
 
 
 def stop_on_broken_invariant() -> None:
-    """Lets an exception that ends_greenlet a greenlet stop the process.
+    """Ends the process when an uncaught exception ends a greenlet.
 
-    Guards against a greenlet that dies alone: gevent would print the trace
-    and the process would go on without its watch or with a state known to be
-    wrong, and look alive. Failures that are expected are values and never
-    end a greenlet.
+    By default gevent prints the traceback and the process continues without
+    that greenlet or with an inconsistent state, while it looks healthy.
+    Expected failures are returned as values and never end a greenlet.
     """
     hub = gevent.get_hub()
     handle_error = hub.handle_error
@@ -125,7 +125,7 @@
 
 
 def report_broken_invariant(error: BaseException) -> None:
-    """Logs the trace of a broken invariant and ends_greenlet the process."""
+    """Logs the traceback of a broken invariant and ends the process."""
     trace = "".join(traceback.format_exception(error))
     log_state("invariant.broken", trace=trace)
     sys.stderr.flush()
@@ -139,15 +139,15 @@
     serve: Callable[[_T], None],
     arguments: list[str] | None = None,
 ) -> int:
-    """Parses the command line, checks the settings and serves.
+    """Parses the command line, checks the settings and runs the server.
 
     Args:
         name: Name of the program.
-        description: One line for `--help`.
-        settings_class: The attrs class of its settings.
-        serve: Runs until the program has drained.
-        arguments: The command line without the program; None takes the
-            process's own.
+        description: One-line description for `--help`.
+        settings_class: The attrs class of the program's settings.
+        serve: Runs the server and returns once the program has drained.
+        arguments: Command-line arguments without the program name; None for
+            those of the process.
 
     Returns:
         The exit code.
--- a/caroblug/node/_members.py
+++ b/caroblug/node/_members.py
@@ -1,4 +1,4 @@
-"""Keeps the view of the members: the list fetched, the peers heard."""
+"""Tracks the fleet's members from the instance list and from peers."""
 
 import gevent
 from gevent import event
@@ -18,19 +18,20 @@
 
 
 class Members:
-    """The joined view, kept up to date.
+    """Keeps the view of the fleet's members up to date.
 
-    The list is a few hundred bytes at a small site and 140 KB at 1,180
-    instances; the time between two reads grows with it, so that it never
-    costs more than 1 KB/s.
+    The instance list is a few hundred bytes at a small site and 140 KB at
+    1,180 instances. The interval between two reads grows with the list, so
+    that reading it never takes more than 1 KB/s.
 
     Args:
-        membership: Joins what is listed and what is heard.
+        membership: Combines the instance list with the peers' connections
+            and reports.
         instances: The platform's instance list.
-        network: Connections with peers.
+        network: Connections to peers.
         clock: Source of time.
-        metrics: Where reads and members are counted.
-        interval_ms: Least time between two reads of the list.
+        metrics: Counts reads of the list and members.
+        interval_ms: Minimum interval between two reads of the list.
     """
 
     def __init__(
@@ -59,38 +60,38 @@
 
     @property
     def view(self) -> MemberView:
-        """The members that may be given work now."""
+        """The members that may receive work now."""
         return self._membership.view(self._clock.now_ms())
 
     @property
     def listed(self) -> tuple[InstanceRecord, ...]:
-        """What the list showed when it was last read."""
+        """The records of the last successful read of the list."""
         return self._listed_records
 
     @property
     def withdrawn(self) -> event.Event:
-        """Set once the platform's list shows this instance as leaving."""
+        """Event that is set once the list shows this instance as leaving."""
         return self._withdrawn
 
     def wait_for_list(self, timeout_ms: int) -> None:
-        """Waits until the list was read once, or in vain."""
+        """Waits until the first attempt to read the list has ended."""
         self._list_read.wait(timeout_ms / 1000)
 
     def run(self) -> None:
-        """Reads the list for ever."""
+        """Reads the list periodically until the process ends."""
         while True:
             count = self.read_list()
             min_interval_ms = count * _BYTES_PER_RECORD / _MAX_BYTES_PER_MS
             gevent.sleep(max(self._interval_ms, min_interval_ms) / 1000)
 
     def connect(self, members: list[Member]) -> None:
-        """Dials the members that have no connection yet."""
+        """Opens connections to the members that have none."""
         for member in members:
             if not self._network.is_connected(member.instance):
                 self._network.send(make_peer_address(member))
 
     def on_peer_up(self, peer: PeerAddress) -> None:
-        """Learns of a connection with a peer that has proved itself."""
+        """Records a new connection to an authenticated peer."""
         self._membership.on_connected(
             Member(
                 peer.instance,
@@ -102,15 +103,19 @@
         )
 
     def on_peer_lost(self, peer: PeerAddress) -> None:
-        """Learns that a peer is gone."""
+        """Records the loss of a peer's connection."""
         self._membership.on_disconnected(peer.instance, self._clock.now_ms())
 
     def on_report(self, instance: str, *, leaving: bool) -> None:
-        """Learns from a peer itself whether it is leaving."""
+        """Records whether a peer reports itself as leaving."""
         self._membership.on_report(instance, leaving=leaving)
 
     def read_list(self) -> int:
-        """Reads the list once and returns how many instances it shows."""
+        """Reads the list once.
+
+        Returns:
+            The number of listed instances; 0 if the list is unavailable.
+        """
         listed = self._instances.fetch()
         if isinstance(listed, InstancesUnavailable):
             self._metrics.count("instance_list_failures")
@@ -133,7 +138,7 @@
 
 
 def make_peer_address(member: Member) -> PeerAddress:
-    """Returns where a member listens for its peers."""
+    """Returns the address on which a member listens for peers."""
     return PeerAddress(
         member.instance,
         member.host,
--- a/caroblug/node/_reference.py
+++ b/caroblug/node/_reference.py
@@ -1,4 +1,4 @@
-"""The settings reference, made from the attrs classes."""
+"""Generates the settings reference from the attrs classes."""
 
 import types
 import typing
@@ -8,11 +8,12 @@
 
 
 def describe_settings(title: str, cls: type) -> str:
-    """Returns a Markdown section about a settings class.
+    """Returns a Markdown section that describes a settings class.
 
     Args:
         title: Heading of the section.
-        cls: The attrs class; nested ones are described with dotted keys.
+        cls: The attrs class. Fields of nested attrs classes are listed with
+            dotted keys.
     """
     lines = [
         f"## {title}",
@@ -67,7 +68,7 @@
 
 
 def _read_attribute_doc(cls: type, name: str) -> str:
-    """Returns what the class's `Attributes` section says of a field."""
+    """Returns a field's first line in the class's `Attributes` section."""
     for parent in cls.__mro__:
         for line in (parent.__doc__ or "").splitlines():
             key, _, text = line.strip().partition(": ")
--- a/caroblug/node/_snapshots.py
+++ b/caroblug/node/_snapshots.py
@@ -1,4 +1,4 @@
-"""Appends the head again before its records expire."""
+"""Keeps a snapshot of the head in the log before its records expire."""
 
 import random
 
@@ -22,16 +22,16 @@
 
 
 class SnapshotWriter:
-    """Keeps a whole copy of the head in the log.
+    """Keeps a complete copy of the head in the log.
 
     Args:
         log: The log service.
-        bundles: Where the head is known.
-        members: The view of the members.
+        bundles: Tracks the head.
+        members: The current members of the fleet.
         clock: Source of time.
-        metrics: Where appends are counted.
-        key: Key that proves a snapshot.
-        retention_ms: How long the log keeps a record.
+        metrics: Counts appended snapshots.
+        key: Key that authenticates a snapshot.
+        retention_ms: Time for which the log retains a record.
         rng: Source of jitter.
     """
 
@@ -57,7 +57,7 @@
         self._caught_up = False
 
     def run(self) -> None:
-        """Keeps it for ever."""
+        """Checks and appends snapshots until the process ends."""
         while True:
             gevent.sleep(_TICK_INTERVAL_S)
             self._track_snapshot()
@@ -76,10 +76,10 @@
                 self._append_snapshot(head)
 
     def _track_snapshot(self) -> None:
-        """Starts the schedule anew for a snapshot that has just come.
+        """Restarts the schedule when a new snapshot appears in the log.
 
-        One that was in the log before this instance says nothing about when
-        it expires.
+        A snapshot from before this instance reached the end of the log is
+        ignored, because its age, and so its expiry, is unknown.
         """
         offset = self._bundles.fold.snapshot_offset
         if offset == self._newest_offset:
@@ -89,10 +89,10 @@
             self._schedule.on_snapshot(self._clock.now_ms())
 
     def _verify_snapshot(self) -> None:
-        """Looks whether the newest snapshot is still in the log.
+        """Checks that the newest snapshot is still in the log.
 
-        Guards against a log that has dropped more than it should, or an
-        outage longer than its retention: the snapshot is then due at once.
+        It may be missing if the log dropped records too early or after an
+        outage longer than its retention. A new one is then due at once.
         """
         if self._newest_offset is None:
             return
