--- a/caroblug/node/_settings.py
+++ b/caroblug/node/_settings.py
@@ -1,4 +1,4 @@
-"""Settings that every instance has."""
+"""Settings that entry and side processes share."""
 
 import attrs
 
@@ -19,7 +19,7 @@
 
 @attrs.frozen(kw_only=True)
 class Address:
-    """An address in the settings."""
+    """Address of a service that the instance connects to."""
 
     host: str = text("IP address.")
     port: int = port("TCP port.")
@@ -31,70 +31,90 @@
 
     Attributes:
         instance: Name of this instance, unique in the fleet.
-        data_centre: Where it runs.
+        data_centre: Name of the data centre that this instance runs in.
         host: IP address to listen on.
-        peer_port: Port for caroblug's own processes.
-        http_port: Port for HTTP.
-        shared_key: Key by which processes prove themselves; empty if it is
-            in a file.
-        shared_key_file: File with that key on its first line; while keys
-            are exchanged, another accepted key on its second.
-        log: The platform's log service.
-        instance_list: The platform's instance list.
+        peer_port: TCP port for connections from other caroblug processes.
+        http_port: TCP port for HTTP.
+        shared_key: Key with which caroblug processes authenticate to each
+            other; empty if `shared_key_file` is set.
+        shared_key_file: File with that key on its first line. During a key
+            rotation, its second line has another accepted key.
+        log: Address of the platform's log service.
+        instance_list: Address of the platform's instance list.
         operators: Operators' Ed25519 public keys, in hexadecimal.
-        signatures: How many of them must sign a bundle.
-        instances_ms: Least time between two reads of the instance list.
-        log_retention_ms: How long the log service keeps a record.
-        advertised_host: IP address by which others reach the peer port;
-            empty if it is `host`.
-        advertised_port: Port by which others reach the peer port; 0 if it
-            is `peer_port`.
-        heartbeat_ms: Quiet time before a heartbeat, with work in flight.
-        silence_ms: Wait for an acknowledgement, with work in flight, after
-            which a new connection asks the peer.
-        peer_probe_ms: Wait for the peer's answer on a new connection.
-        drain_ms: How long running work may take after SIGTERM. For an entry
-            it must not be below the bundle's longest deadline.
-        linger_ms: Shortest time from SIGTERM to the exit, in which others
-            learn that the instance leaves. An entry takes requests until
-            then: the balancer notices `/readyz` late.
+        signatures: Number of operators that must sign a bundle.
+        instances_ms: Minimum interval between reads of the instance list.
+        log_retention_ms: Time for which the log service retains a record.
+        advertised_host: IP address that peers connect to; empty for `host`.
+        advertised_port: Port that peers connect to; 0 for `peer_port`.
+        heartbeat_ms: Idle time on a connection with work in flight after
+            which a heartbeat is sent.
+        silence_ms: Timeout of an acknowledgement on a connection with work
+            in flight. After it, the peer is probed on a new connection.
+        peer_probe_ms: Timeout of the peer's reply to that probe.
+        drain_ms: Maximum time for running work to finish after SIGTERM. For
+            an entry it must not be below the bundle's longest deadline.
+        linger_ms: Minimum time from SIGTERM to the exit, in which others
+            notice that the instance is leaving. An entry accepts requests
+            until then, because the load balancer notices `/readyz` late.
     """
 
     instance: str = name("Name of this instance, unique in the fleet.")
-    data_centre: str = name("Where it runs.")
+    data_centre: str = name(
+        "Name of the data centre that this instance runs in."
+    )
     host: str = text("IP address to listen on.", "127.0.0.1")
-    peer_port: int = port("Port for caroblug's own processes.")
-    http_port: int = port("Port for HTTP.")
+    peer_port: int = port(
+        "TCP port for connections from other caroblug processes."
+    )
+    http_port: int = port("TCP port for HTTP.")
     shared_key: str = secret(
-        "Key by which processes prove themselves.", MIN_KEY_CHARACTERS
+        "Key with which caroblug processes authenticate to each other.",
+        MIN_KEY_CHARACTERS,
     )
-    shared_key_file: str = text("File with that key.", "", low=0)
+    shared_key_file: str = text("File with the shared key.", "", low=0)
     log: Address = attrs.field()
     instance_list: Address = attrs.field()
     operators: list[str] = attrs.field()
-    signatures: int = count(1, 16, "Operators that must sign a bundle.", 1)
-    instances_ms: int = duration_ms("Time between instance list reads.", 500)
-    log_retention_ms: int = duration_ms("How long the log keeps.", 3_600_000)
+    signatures: int = count(
+        1, 16, "Number of operators that must sign a bundle.", 1
+    )
+    instances_ms: int = duration_ms(
+        "Minimum interval between reads of the instance list.", 500
+    )
+    log_retention_ms: int = duration_ms(
+        "Time for which the log service retains a record.", 3_600_000
+    )
     advertised_host: str = ""
-    advertised_port: int = port("Port by which others reach it.", 0)
-    heartbeat_ms: int = duration_ms("Quiet time before a heartbeat.", 100)
-    silence_ms: int = duration_ms("Silence before a new connection.", 300)
-    peer_probe_ms: int = duration_ms("Wait for an answer on it.", 300)
-    drain_ms: int = duration_ms("Time to finish after SIGTERM.", 120_000)
-    linger_ms: int = duration_ms("Shortest time to the exit.", 1000)
+    advertised_port: int = port(
+        "Port that peers connect to; 0 for `peer_port`.", 0
+    )
+    heartbeat_ms: int = duration_ms(
+        "Idle time before a heartbeat, with work in flight.", 100
+    )
+    silence_ms: int = duration_ms(
+        "Timeout of an acknowledgement before the peer is probed.", 300
+    )
+    peer_probe_ms: int = duration_ms(
+        "Timeout of the peer's reply to a probe.", 300
+    )
+    drain_ms: int = duration_ms(
+        "Maximum time for running work to finish after SIGTERM.", 120_000
+    )
+    linger_ms: int = duration_ms("Minimum time from SIGTERM to the exit.", 1000)
 
     @property
     def reachable_host(self) -> str:
-        """IP address by which others reach the peer port."""
+        """IP address that peers connect to."""
         return self.advertised_host or self.host
 
     @property
     def reachable_port(self) -> int:
-        """Port by which others reach the peer port."""
+        """Port that peers connect to."""
         return self.advertised_port or self.peer_port
 
     def make_session_timing(self) -> SessionTiming:
-        """Returns how soon a peer is asked whether it still lives."""
+        """Returns the heartbeat and probe timing of peer connections."""
         return SessionTiming(
             heartbeat_ms=self.heartbeat_ms,
             silence_ms=self.silence_ms,
@@ -103,10 +123,11 @@
 
     @property
     def shared_keys(self) -> tuple[str, ...]:
-        """The key to speak with, then others that are accepted.
+        """The key to authenticate with, then other accepted keys.
 
         Raises:
-            OSError: The file cannot be read.
+            OSError: If the key file cannot be read.
+            UnicodeDecodeError: If the key file is not ASCII.
         """
         if not self.shared_key_file:
             return (self.shared_key,)
@@ -118,11 +139,14 @@
 def check_shared_keys(
     settings: NodeSettings, file: str
 ) -> SettingProblem | None:
-    """Returns what is wrong with the shared key; never the key itself.
+    """Checks where the shared key comes from and how long it is.
 
     Args:
-        settings: The settings.
-        file: Name to give in messages.
+        settings: The settings to check.
+        file: Name of the settings file for messages.
+
+    Returns:
+        The first problem found, without the key itself; None if there is none.
     """
     key = "shared_key_file" if settings.shared_key_file else "shared_key"
     if settings.shared_key and settings.shared_key_file:
@@ -137,6 +161,8 @@
         return SettingProblem(file, key, "must hold one or two lines")
     if any(len(k) < MIN_KEY_CHARACTERS for k in keys):
         return SettingProblem(
-            file, key, f"a key must have {MIN_KEY_CHARACTERS} characters"
+            file,
+            key,
+            f"a key must have at least {MIN_KEY_CHARACTERS} characters",
         )
     return None
