--- a/caroblug/bundle/tests/__init__.py
+++ b/caroblug/bundle/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests."""
+"""Tests of the `caroblug-bundle` command."""
--- a/caroblug/node/tests/__init__.py
+++ b/caroblug/node/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests."""
+"""Tests of the shared parts of entry and side."""
--- a/caroblug/node/tests/fakes.py
+++ b/caroblug/node/tests/fakes.py
@@ -1,4 +1,4 @@
-"""A fleet of followers on a fake log and fake connections."""
+"""Simulated fleet of bundle followers on a fake log and connections."""
 
 import random
 
@@ -45,7 +45,11 @@
 
 
 class FakeLog(LogService):
-    """A log whose records expire and whose answers get lost on order."""
+    """Log service whose outages, record expiry and lost replies are settable.
+
+    A lost reply means that the record is appended but the append reports that
+    the log is unavailable.
+    """
 
     def __init__(self):
         self.records = []
@@ -54,7 +58,7 @@
         self.lose_answers = 0
 
     def append(self, stream, data):
-        """Appends one record."""
+        """Appends a record."""
         if self.down:
             return LogUnavailable("down")
         self.records.append(data)
@@ -64,7 +68,7 @@
         return Appended(len(self.records) - 1)
 
     def read(self, stream, offset, limit=100, wait_ms=0):
-        """Reads from `offset`."""
+        """Reads up to `limit` records from `offset`."""
         if self.down:
             return LogUnavailable("down")
         first = max(offset, self.start)
@@ -73,8 +77,8 @@
         return RecordBatch(found, max(first, end), len(self.records))
 
 
-class _LogOfOne(LogService):
-    """The log as one instance reaches it."""
+class _InstanceLog(LogService):
+    """Log service as one instance reaches it, with outages per instance."""
 
     def __init__(self, fleet, name):
         self._fleet = fleet
@@ -91,21 +95,21 @@
         return self._fleet.log.read(stream, offset, limit, wait_ms)
 
 
-class FakeList(InstanceList):
-    """An instance list that shows what it is told."""
+class FakeInstanceList(InstanceList):
+    """Instance list whose records and outages are settable."""
 
     def __init__(self):
-        self.shown = {}
+        self.listed_records = {}
         self.down = False
 
     def fetch(self):
-        """Returns every listed instance."""
+        """Returns all listed records."""
         if self.down:
             return InstancesUnavailable("down")
-        return tuple(self.shown.values())
+        return tuple(self.listed_records.values())
 
     def withdraw(self, instance):
-        """Does nothing."""
+        """Ignores the withdrawal."""
 
 
 class _FakeNetwork:
@@ -121,36 +125,39 @@
 
 
 class FakeFleet:
-    """Followers that talk over queues which keep their order.
+    """Fleet of followers that are connected by ordered queues.
+
+    Attributes:
+        reference: Fold of all records, without outages or lost connections.
 
     Args:
-        places: Data centre by instance.
+        data_centres: Data centre of each instance, by its name.
     """
 
-    def __init__(self, places):
+    def __init__(self, data_centres):
         self.clock = ManualClock(1000)
         self.log = FakeLog()
-        self.instances = FakeList()
-        self.places = dict(places)
+        self.instances = FakeInstanceList()
+        self.data_centres = dict(data_centres)
         self.nodes = {}
         self.queues = {}
         self.blocked = set()
         self.without_log = set()
         self.table = {"limits": {"max_tokens": 1}, "objectives": []}
-        self.truth = BundleFold([OPERATOR], 1, [SNAPSHOT_KEY])
-        self.sent = []
-        for name, place in self.places.items():
-            self.instances.shown[name] = InstanceRecord(
-                name, "side", name, 1, place, leaving=False
+        self.reference = BundleFold([OPERATOR], 1, [SNAPSHOT_KEY])
+        self.published_records = []
+        for name, data_centre in self.data_centres.items():
+            self.instances.listed_records[name] = InstanceRecord(
+                name, "side", name, 1, data_centre, leaving=False
             )
-        for name in self.places:
+        for name in self.data_centres:
             self.start(name)
 
     def start(self, name):
-        """Starts an instance that knows nothing."""
+        """Starts an instance without any state."""
         metrics = make_metrics()
         network = _FakeNetwork(self, name)
-        own = Member(name, "side", name, 1, self.places[name])
+        own = Member(name, "side", name, 1, self.data_centres[name])
         members = Members(
             Membership(own),
             self.instances,
@@ -161,7 +168,7 @@
         )
         rng = random.Random(name)
         self.nodes[name] = BundleFollower(
-            _LogOfOne(self, name),
+            _InstanceLog(self, name),
             BundleFold([OPERATOR], 1, [SNAPSHOT_KEY]),
             BundleDissemination(own, rng, self.clock.now_ms()),
             members,
@@ -174,16 +181,16 @@
         members.read_list()
 
     def crash(self, name):
-        """Ends an instance and its connections."""
+        """Stops an instance and closes its connections."""
         for a, b in list(self.queues):
             if a == name:
                 self.cut(a, b)
         del self.nodes[name]
 
-    def publish(self, racing=1):
-        """Appends children of the true head, each by another operator."""
-        head = self.truth.head
-        for _ in range(racing):
+    def publish(self, competing=1):
+        """Appends records that are all children of the reference head."""
+        head = self.reference.head
+        for _ in range(competing):
             self.table["limits"]["max_tokens"] += 1
             record = make_record(
                 split_sections(self.table),
@@ -192,23 +199,23 @@
                 list(head.bodies()) if head else (),
             )
             record = sign_record(record, KEY.private_bytes_raw())
-            self.sent.append(encode_record(record))
-            self.append(self.sent[-1])
+            self.published_records.append(encode_record(record))
+            self.append(self.published_records[-1])
 
     def append(self, data):
-        """Appends a record past every outage."""
+        """Appends a record regardless of outages."""
         offset = len(self.log.records)
         self.log.records.append(data)
-        self.truth.on_record(data, offset)
+        self.reference.on_record(data, offset)
 
     def is_linked(self, a, b):
-        """Tells whether two instances have a connection."""
+        """Returns whether two instances are connected."""
         return (a, b) in self.queues
 
     def send(self, a, b, messages):
-        """Queues messages, making a connection if need be."""
+        """Queues messages; connects the instances first if needed."""
         if not self.is_linked(a, b):
-            pair = frozenset((self.places[a], self.places[b]))
+            pair = frozenset((self.data_centres[a], self.data_centres[b]))
             if b not in self.nodes or pair in self.blocked:
                 self.nodes[a].on_peer_lost(self._address(b))
                 return
@@ -222,7 +229,7 @@
             self.queues[a, b].append(encode(frame))
 
     def cut(self, a, b):
-        """Ends a connection; what was on its way is lost."""
+        """Closes a connection; undelivered messages are lost."""
         if not self.is_linked(a, b):
             return
         del self.queues[a, b]
@@ -231,15 +238,18 @@
             if here in self.nodes:
                 self.nodes[here].on_peer_lost(self._address(there))
 
-    def block(self, place, other):
-        """Lets two data centres lose each other."""
-        self.blocked.add(frozenset((place, other)))
+    def block(self, data_centre, other):
+        """Partitions two data centres from each other."""
+        self.blocked.add(frozenset((data_centre, other)))
         for a, b in list(self.queues):
-            if {self.places[a], self.places[b]} == {place, other}:
+            if {self.data_centres[a], self.data_centres[b]} == {
+                data_centre,
+                other,
+            }:
                 self.cut(a, b)
 
     def deliver(self, a, b, count=1):
-        """Hands over the first messages of one direction."""
+        """Delivers the oldest messages of one direction."""
         for _ in range(count):
             if not self.queues.get((a, b)):
                 return
@@ -248,7 +258,7 @@
             self.nodes[b].on_frame(self._address(a), frame)
 
     def run(self, rounds):
-        """Lets a tenth of a second pass so many times."""
+        """Runs the fleet for a number of rounds of 100 ms each."""
         for number in range(rounds):
             self.clock.advance(100)
             for node in list(self.nodes.values()):
@@ -259,4 +269,4 @@
                 self.deliver(a, b, 100)
 
     def _address(self, name):
-        return PeerAddress(name, name, 1, "side", self.places[name])
+        return PeerAddress(name, name, 1, "side", self.data_centres[name])
--- a/caroblug/node/tests/test_bundles.py
+++ b/caroblug/node/tests/test_bundles.py
@@ -1,4 +1,4 @@
-"""Bundles spread over a fleet that breaks in every way."""
+"""Tests of bundle dissemination in a fleet with crashes and outages."""
 
 import hypothesis
 from hypothesis import strategies as st
@@ -7,27 +7,29 @@
 from caroblug.core.state import Snapshot, encode_snapshot, make_record
 from caroblug.node.tests.fakes import SNAPSHOT_KEY, FakeFleet
 
-_PLACES = {
-    f"{place}-{number}": place for place in ("a", "b") for number in range(5)
+_DATA_CENTRES = {
+    f"{data_centre}-{number}": data_centre
+    for data_centre in ("a", "b")
+    for number in range(5)
 }
-_NAMES = sorted(_PLACES)
+_NAMES = sorted(_DATA_CENTRES)
 _names = st.sampled_from(_NAMES)
 _SETTLE_ROUNDS = 250
 
 
-def _fleet(published=1):
-    fleet = FakeFleet(_PLACES)
+def _make_fleet(published=1):
+    fleet = FakeFleet(_DATA_CENTRES)
     for _ in range(published):
         fleet.publish()
     fleet.run(40)
     return fleet
 
 
-def _versions(fleet):
+def _collect_versions(fleet):
     return {n.head.version if n.head else 0 for n in fleet.nodes.values()}
 
 
-def _whole(head):
+def _encode_whole_snapshot(head):
     record = make_record(head.sections, head.version, head.record.parent)
     record = type(record)(
         record.version,
@@ -39,8 +41,8 @@
     return encode_snapshot(Snapshot(record, head.offset), SNAPSHOT_KEY)
 
 
-def test_few_instances_read_the_log_and_all_hear():
-    fleet = _fleet()
+def test_few_instances_read_the_log_and_all_receive_the_head():
+    fleet = _make_fleet()
     assert all(node.ready for node in fleet.nodes.values())
     readers = [n for n in fleet.nodes.values() if n.should_read]
     assert len(readers) == 6
@@ -49,16 +51,16 @@
             node.read_log = None
     fleet.publish()
     fleet.run(10)
-    assert _versions(fleet) == {2}
+    assert _collect_versions(fleet) == {2}
 
 
-def test_new_instance_in_an_outage_takes_the_peers_head():
-    """New instances refuse every caller while the log is down.
+def test_new_instance_in_an_outage_adopts_the_peers_head():
+    """Guards against new instances that reject all callers in a log outage.
 
-    The log cannot be read; several peers agree on their head, and the new
-    instance takes the highest of them.
+    Several peers advertise their heads. A new instance that cannot read the
+    log adopts the newest of these heads and becomes ready.
     """
-    fleet = _fleet(2)
+    fleet = _make_fleet(2)
     fleet.log.down = True
     fleet.crash("a-3")
     fleet.start("a-3")
@@ -70,13 +72,13 @@
 
 
 def test_new_instance_is_not_misled_by_an_old_replay():
-    """A replaced instance opens accounts that were closed last week.
+    """Guards against a new instance that reactivates a removed account.
 
-    Its log holds nothing but an old record that somebody appended again:
-    everything else has expired. Its peers know the newer head.
+    All records have expired except an old one that was appended again. The
+    instance must not become ready before its peers send their newer head.
     """
-    fleet = _fleet(3)
-    fleet.append(fleet.sent[0])
+    fleet = _make_fleet(3)
+    fleet.append(fleet.published_records[0])
     fleet.log.start = len(fleet.log.records) - 1
     fleet.crash("b-0")
     fleet.start("b-0")
@@ -88,39 +90,40 @@
     assert node.ready
 
 
-def test_others_step_in_where_readers_cannot_reach_the_log():
-    """A new limit never reaches a data centre.
+def test_other_instances_read_the_log_when_readers_cannot_reach_it():
+    """Guards against a data centre that never receives a new bundle.
 
-    The instances that read the log there cannot reach it, the other data
-    centre is cut off, and everybody waits for the readers.
+    Its log readers cannot reach the log and the other data centre is
+    partitioned. Other instances must start to read the log.
     """
-    fleet = _fleet()
+    fleet = _make_fleet()
     fleet.block("a", "b")
     fleet.without_log = {n for n in _NAMES if fleet.nodes[n].is_reader}
     fleet.publish()
     fleet.run(250)
-    assert _versions(fleet) == {2}
+    assert _collect_versions(fleet) == {2}
 
 
-def test_data_centre_without_the_log_hears_from_another():
-    fleet = _fleet()
+def test_data_centre_without_the_log_fetches_from_another():
+    fleet = _make_fleet()
     fleet.without_log = {n for n in _NAMES if n.startswith("a")}
     fleet.publish()
     fleet.run(15)
-    assert _versions(fleet) == {2}
+    assert _collect_versions(fleet) == {2}
 
 
-def test_new_connection_brings_the_head():
-    """Two data centres that lost each other differ for seconds more.
+def test_new_connection_transfers_the_head():
+    """Guards against data centres that differ for seconds after a partition.
 
-    What was published meanwhile is told as soon as a connection is there.
+    A new connection transfers the head that was published during the
+    partition at once, without waiting for a heartbeat.
     """
-    fleet = _fleet()
+    fleet = _make_fleet()
     fleet.block("a", "b")
     fleet.without_log = {n for n in _NAMES if n.startswith("a")}
     fleet.publish()
     fleet.run(20)
-    assert _versions(fleet) == {1, 2}
+    assert _collect_versions(fleet) == {1, 2}
     fleet.blocked.clear()
     fleet.send("a-0", "b-0", [])
     for _ in range(4):
@@ -129,49 +132,53 @@
     assert fleet.nodes["a-0"].head.version == 2
 
 
-def test_request_waits_for_the_newer_head_its_peer_has_told_of():
-    """A caller's new key works at one instance and is refused by the next.
+def test_request_waits_for_an_advertised_newer_head():
+    """Guards against a new key that one instance accepts and another rejects.
 
-    The advert arrives before anything that was decided under the new head;
-    until the sections are there, the older head does not count as settled.
+    The advert arrives before any message that depends on the new head. Until
+    its sections are received, the instance with the older head is not ready.
     """
-    fleet = _fleet()
+    fleet = _make_fleet()
     fleet.publish()
-    teller = next(n for n in _NAMES if fleet.nodes[n].is_reader)
-    fleet.nodes[teller].read_log()
-    hearer = next(b for a, b in fleet.queues if a == teller)
-    assert fleet.nodes[hearer].head.version == 1
-    while fleet.queues[teller, hearer]:
-        fleet.deliver(teller, hearer)
-    assert not fleet.nodes[hearer].ready
+    sender = next(n for n in _NAMES if fleet.nodes[n].is_reader)
+    fleet.nodes[sender].read_log()
+    receiver = next(b for a, b in fleet.queues if a == sender)
+    assert fleet.nodes[receiver].head.version == 1
+    while fleet.queues[sender, receiver]:
+        fleet.deliver(sender, receiver)
+    assert not fleet.nodes[receiver].ready
     fleet.run(3)
-    assert fleet.nodes[hearer].ready
-    assert fleet.nodes[hearer].wait_for_newest_head().version == 2
+    assert fleet.nodes[receiver].ready
+    assert fleet.nodes[receiver].wait_for_newest_head().version == 2
 
 
-class SpreadMachine(RuleBasedStateMachine):
-    """Ten instances in two data centres, and a log with outages."""
+class DisseminationMachine(RuleBasedStateMachine):
+    """Ten instances in two data centres, with crashes and log outages."""
 
     def __init__(self):
         super().__init__()
-        self.fleet = FakeFleet(_PLACES)
-        self.seen = dict.fromkeys(_NAMES, 0)
+        self.fleet = FakeFleet(_DATA_CENTRES)
+        self.highest_versions = dict.fromkeys(_NAMES, 0)
 
-    @rule(racing=st.integers(1, 2))
-    def publish(self, racing):
-        self.fleet.publish(racing)
+    @rule(competing=st.integers(1, 2))
+    def publish(self, competing):
+        self.fleet.publish(competing)
 
     @rule(which=st.integers(0, 99))
     def replay(self, which):
-        if self.fleet.sent:
-            self.fleet.append(self.fleet.sent[which % len(self.fleet.sent)])
+        if self.fleet.published_records:
+            self.fleet.append(
+                self.fleet.published_records[
+                    which % len(self.fleet.published_records)
+                ]
+            )
 
     @rule()
     def expire(self):
-        """All records expire but for a new snapshot of the head."""
-        if self.fleet.truth.head is not None:
+        """Expires all records except a new snapshot of the head."""
+        if self.fleet.reference.head is not None:
             self.fleet.log.start = len(self.fleet.log.records)
-            self.fleet.append(_whole(self.fleet.truth.head))
+            self.fleet.append(_encode_whole_snapshot(self.fleet.reference.head))
 
     @rule(down=st.booleans())
     def outage(self, down):
@@ -187,7 +194,7 @@
     def crash(self, name):
         if name in self.fleet.nodes:
             self.fleet.crash(name)
-            self.seen[name] = 0
+            self.highest_versions[name] = 0
 
     @rule(name=_names)
     def start(self, name):
@@ -198,9 +205,9 @@
     def cut(self, a, b):
         self.fleet.cut(a, b)
 
-    @rule(apart=st.booleans())
-    def part(self, apart):
-        if apart:
+    @rule(partitioned=st.booleans())
+    def partition(self, partitioned):
+        if partitioned:
             self.fleet.block("a", "b")
         else:
             self.fleet.blocked.clear()
@@ -211,29 +218,29 @@
 
     @rule()
     def settle(self):
-        """Once all faults are over, all have the one true head."""
+        """Ends all faults; checks that all instances reach the reference head."""
         self.outage(down=False)
-        self.part(apart=False)
+        self.partition(partitioned=False)
         for name in _NAMES:
             self.start(name)
         self.fleet.run(_SETTLE_ROUNDS)
-        truth = self.fleet.truth.head
+        reference = self.fleet.reference.head
         for node in self.fleet.nodes.values():
-            if truth is None:
+            if reference is None:
                 assert node.head is None
             else:
                 assert node.ready
-                assert node.head.digest == truth.digest
+                assert node.head.digest == reference.digest
 
     @invariant()
     def versions_never_fall(self):
         for name, node in self.fleet.nodes.items():
             version = node.head.version if node.head else 0
-            assert version >= self.seen[name]
-            self.seen[name] = version
+            assert version >= self.highest_versions[name]
+            self.highest_versions[name] = version
 
 
-TestSpreadMachine = SpreadMachine.TestCase
-TestSpreadMachine.settings = hypothesis.settings(
+TestDisseminationMachine = DisseminationMachine.TestCase
+TestDisseminationMachine.settings = hypothesis.settings(
     max_examples=60, stateful_step_count=20
 )
--- a/caroblug/node/tests/test_capacity.py
+++ b/caroblug/node/tests/test_capacity.py
@@ -1,4 +1,4 @@
-"""The capacity page says what the measurements say."""
+"""Tests that the capacity page is generated from the measurements."""
 
 import pathlib
 import runpy
--- a/caroblug/node/tests/test_program.py
+++ b/caroblug/node/tests/test_program.py
@@ -1,4 +1,4 @@
-"""Tests of the command line and of the end of a program."""
+"""Tests of the command line and of the exit on a broken invariant."""
 
 import subprocess
 import sys
@@ -9,7 +9,7 @@
 from caroblug.entry import EntrySettings
 from caroblug.node import run_program
 
-_GOOD = """
+_VALID_SETTINGS = """
 instance = "entry-a"
 data_centre = "muscat-a"
 peer_port = 7001
@@ -24,7 +24,7 @@
 port = 9002
 """
 
-_DYING = """
+_FAILING_PROGRAM = """
 from gevent import monkey; monkey.patch_all()
 import gevent
 from caroblug.node._lifetime import stop_on_broken_invariant
@@ -54,15 +54,17 @@
     )
 
 
-def test_good_settings_are_checked_and_not_served(tmp_path, capsys):
-    assert _run(tmp_path, _GOOD, "--check-config") == 0
+def test_valid_settings_are_checked_and_not_served(tmp_path, capsys):
+    assert _run(tmp_path, _VALID_SETTINGS, "--check-config") == 0
     output = capsys.readouterr().out
     assert "ok" in output
     assert "thirty-two" not in output
 
 
 def test_every_mistake_is_named_with_its_place(tmp_path, capsys):
-    text = _GOOD.replace("7001", "70010").replace("[log]", "colour=1\n[log]")
+    text = _VALID_SETTINGS.replace("7001", "70010").replace(
+        "[log]", "colour=1\n[log]"
+    )
     assert _run(tmp_path, text) == 2
     errors = capsys.readouterr().err
     assert "entry.toml: peer_port: must be a whole number" in errors
@@ -70,22 +72,22 @@
 
 
 def test_version(capsys):
-    with pytest.raises(SystemExit) as ended:
+    with pytest.raises(SystemExit) as exit_info:
         run_program("x", "x", EntrySettings, print, ["--version"])
-    assert ended.value.code == 0
+    assert exit_info.value.code == 0
     assert caroblug.__version__ in capsys.readouterr().out
 
 
 def test_broken_invariant_stops_the_process():
-    """A caller gets wrong words from an instance that looks healthy.
+    """Guards against wrong results from an instance that looks healthy.
 
-    An invariant breaks in one greenlet; gevent prints it and the others go
-    on serving from a state that is known to be wrong.
+    When an invariant breaks in one greenlet, gevent by default prints the
+    traceback while the others continue to serve from inconsistent state.
     """
-    ended = subprocess.run(
-        [sys.executable, "-c", _DYING],
+    completed = subprocess.run(
+        [sys.executable, "-c", _FAILING_PROGRAM],
         capture_output=True,
         text=True,
         check=False,
     )
-    assert ended.returncode == 70
+    assert completed.returncode == 70
--- a/caroblug/node/tests/test_reference.py
+++ b/caroblug/node/tests/test_reference.py
@@ -1,4 +1,4 @@
-"""The settings reference says what the classes say."""
+"""Tests that the settings reference is generated from the classes."""
 
 import pathlib
 import runpy
--- a/caroblug/node/tests/test_shared_keys.py
+++ b/caroblug/node/tests/test_shared_keys.py
@@ -1,4 +1,4 @@
-"""Tests of where the shared key comes from and where it never shows."""
+"""Tests of the sources of the shared key and of its secrecy in output."""
 
 import pytest
 import tomli_w
@@ -11,7 +11,7 @@
 _ADDRESS = {"host": "127.0.0.1", "port": 1}
 
 
-def _check(folder, capsys, **changes):
+def _check(directory, capsys, **changes):
     table = {
         "instance": "entry-a",
         "data_centre": "a",
@@ -22,7 +22,7 @@
         "instance_list": _ADDRESS,
         **changes,
     }
-    path = folder / "entry.toml"
+    path = directory / "entry.toml"
     path.write_text(tomli_w.dumps(table))
     arguments = ["--config", str(path), "--check-config"]
     code = run_program("entry", "", EntrySettings, print, arguments)
@@ -30,7 +30,7 @@
     return code, captured.out + captured.err, str(path)
 
 
-def test_key_may_come_from_a_file_with_its_successor(tmp_path, capsys):
+def test_key_file_may_contain_the_next_key(tmp_path, capsys):
     (tmp_path / "key").write_text(f"{_SECRET}\n{_SECRET}-next\n")
     code, _, path = _check(
         tmp_path, capsys, shared_key_file=str(tmp_path / "key")
@@ -50,8 +50,8 @@
         {"shared_key_file": "no-such-file"},
     ],
 )
-def test_mistake_about_the_key_does_not_show_it(tmp_path, capsys, changes):
-    """A key lands in a ticket with the output of `--check-config`."""
+def test_problem_with_the_key_does_not_reveal_it(tmp_path, capsys, changes):
+    """Guards against a key that leaks into the output of `--check-config`."""
     code, output, _ = _check(tmp_path, capsys, **changes)
     assert code == 2
     assert "shared_key" in output
@@ -59,7 +59,7 @@
         assert secret not in output
 
 
-def test_settings_do_not_show_the_key(tmp_path, capsys):
+def test_settings_do_not_reveal_the_key(tmp_path, capsys):
     code, output, path = _check(tmp_path, capsys, shared_key=_SECRET)
     assert code == 0
     assert _SECRET not in output
