--- a/caroblug/bundle/__init__.py
+++ b/caroblug/bundle/__init__.py
@@ -1,4 +1,4 @@
-"""The operators' tool: keys, checks, signatures, publishing."""
+"""Operators' command-line tool for signing and publishing bundles."""
 
 from caroblug.bundle._parser import run
 
--- a/caroblug/bundle/_commands.py
+++ b/caroblug/bundle/_commands.py
@@ -1,4 +1,4 @@
-"""The commands of `caroblug-bundle`."""
+"""Commands of `caroblug-bundle`; each returns the exit code."""
 
 import argparse
 import json
@@ -46,7 +46,7 @@
 
 
 def keygen(options: argparse.Namespace) -> int:
-    """Makes an operator's key pair; prints the public key."""
+    """Generates an operator's key pair and prints the public key."""
     key = Ed25519PrivateKey.generate()
     path = pathlib.Path(options.out)
     path.touch(mode=_PRIVATE_KEY_MODE, exist_ok=False)
@@ -56,14 +56,14 @@
 
 
 def newkey(options: argparse.Namespace) -> int:
-    """Makes a caller's key; prints it with its hash."""
+    """Generates a client account's key and prints it with its hash."""
     key = make_key(options.client_account)
     print(json.dumps({"key": key, "key_hash": hash_key(key)}))
     return OK
 
 
 def check(options: argparse.Namespace) -> int:
-    """Prints every mistake in a bundle."""
+    """Prints every problem in a bundle."""
     if _print_problems(options.bundle):
         return USAGE
     print(f"{options.bundle.path}: ok")
@@ -71,7 +71,7 @@
 
 
 def diff(options: argparse.Namespace) -> int:
-    """Prints what a bundle changes, and for affected."""
+    """Prints what a bundle changes and which callers each change affects."""
     if options.against is not None:
         old = options.against.table
     else:
@@ -87,7 +87,11 @@
 
 
 def sign(options: argparse.Namespace) -> int:
-    """Makes a record on the log's head, or adds a signature to one."""
+    """Creates a signed child of the head, or adds a signature to a record.
+
+    An existing record is signed only if it was made from the same bundle and
+    its parent is still the head.
+    """
     if _print_problems(options.bundle):
         return USAGE
     log = _open_log(options)
@@ -120,7 +124,7 @@
 
 
 def rebase(options: argparse.Namespace) -> int:
-    """Puts a record's changes onto the version that has won."""
+    """Merges a record's changes into the head and writes the result."""
     log = _open_log(options)
     if log is None:
         return FAILED
@@ -146,7 +150,7 @@
 
 
 def publish(options: argparse.Namespace) -> int:
-    """Appends a record and tells what became of it."""
+    """Publishes a record and prints the outcome."""
     record = options.record.record
     signers = len(verified_signers(record, options.operator))
     if signers < options.signatures:
@@ -174,7 +178,7 @@
 
 
 def status(options: argparse.Namespace) -> int:
-    """Prints the head, and each instance's version and since when."""
+    """Prints the head and each instance's version with its start time."""
     log = _open_log(options)
     if log is None:
         return FAILED
@@ -188,7 +192,7 @@
     listed = _make_instance_list(options).fetch()
     if isinstance(listed, InstancesUnavailable):
         return _print_error(
-            f"the instance list gave no answer: {listed.message}", FAILED
+            f"the instance list did not respond: {listed.message}", FAILED
         )
     statuses = _fleet.fetch_statuses(listed)
     for instance in statuses:
@@ -200,7 +204,7 @@
 
 
 def withdraw(options: argparse.Namespace) -> int:
-    """Takes an instance out and waits until it has drained."""
+    """Withdraws an instance and waits until it has drained."""
     outcome = _fleet.withdraw(
         _make_instance_list(options),
         options.instance,
@@ -213,22 +217,27 @@
     if isinstance(outcome, _fleet.NotListed):
         return _print_error(f"{options.instance}: is not on the instance list")
     if isinstance(outcome, _fleet.StillRunning):
-        left = "it has not said what" if outcome.running < 0 else "requests"
+        left = (
+            "an unknown number of requests"
+            if outcome.running < 0
+            else "requests"
+        )
         count = "" if outcome.running < 0 else f"{outcome.running} "
         return _print_error(
             f"{options.instance} is leaving but still runs {count}{left}",
             FAILED,
         )
     return _print_error(
-        f"the instance list gave no answer: {outcome.message}", FAILED
+        f"the instance list did not respond: {outcome.message}", FAILED
     )
 
 
 def _new_record(table: dict[str, Any], log: BundleLog) -> BundleRecord:
     """Returns an unsigned child of the head.
 
-    It leaves out what the head has already, unless the log itself no longer
-    holds the whole head: then a whole record lets every reader go on.
+    The record omits the sections that the head already has. If the log no
+    longer holds all sections of its newest bundle, the record contains all of
+    its own, so that every reader can apply it.
     """
     head = log.head
     known = head.bodies() if head and not log.lacks_sections else ()
@@ -268,20 +277,26 @@
 
 
 def _open_log(options: argparse.Namespace) -> BundleLog | None:
-    """Returns the log, read to its end; None if it gives no answer."""
+    """Opens the log and reads it to its end.
+
+    Returns:
+        The log; None, after printing an error, if it is unavailable.
+    """
     log = _make_log(options)
     failed = log.read()
     if isinstance(failed, LogUnavailable):
-        _print_error(f"the log gave no answer: {failed.message}")
+        _print_error(f"the log did not respond: {failed.message}")
         return None
     return log
 
 
 def _describe_unconfirmed(outcome: Unconfirmed) -> str:
     if not outcome.maybe_written:
-        return f"the log gave no answer: {outcome.message}; nothing was written"
+        return (
+            f"the log did not respond: {outcome.message}; nothing was written"
+        )
     return (
-        f"the log gave no answer: {outcome.message}; the record may be in "
+        f"the log did not respond: {outcome.message}; the record may be in "
         "it. Publish the same record again: it is looked up first"
     )
 
--- a/caroblug/bundle/_diff.py
+++ b/caroblug/bundle/_diff.py
@@ -1,4 +1,4 @@
-"""What a new bundle changes, and for affected."""
+"""Compares and merges parsed bundles."""
 
 from collections.abc import Iterator
 from typing import Any
@@ -16,11 +16,11 @@
 
 @attrs.frozen
 class Change:
-    """One value that differs.
+    """A value that differs between two bundles.
 
     Attributes:
         key_path: Dotted path of the value.
-        affected: Who is concerned.
+        affected: The callers that the change affects.
         before: The value in the old bundle, as text.
         after: The value in the new bundle, as text.
     """
@@ -37,7 +37,7 @@
 
 
 def diff_tables(old: dict[str, Any], new: dict[str, Any]) -> list[Change]:
-    """Returns what differs between two parsed bundles, by key_path."""
+    """Returns the differences between two parsed bundles, by key path."""
     changes = []
     for key in sorted(old.keys() | new.keys()):
         before, after = old.get(key), new.get(key)
@@ -79,8 +79,8 @@
         yield Change(
             key_path,
             affected,
-            f"{len(before - after)} keys end",
-            f"{len(after - before)} keys begin",
+            f"{len(before - after)} keys removed",
+            f"{len(after - before)} keys added",
         )
         return
     yield Change(key_path, affected, _format_value(old), _format_value(new))
@@ -92,12 +92,12 @@
 
 @attrs.frozen
 class MergeResult:
-    """Two changes of one bundle put together.
+    """Result of a three-way merge of bundles.
 
     Attributes:
         table: The merged bundle.
-        conflicts: Places where both changed the same value differently;
-            the table has the value of the winner there.
+        conflicts: Key paths at which both sides changed the same value
+            differently; `table` has the value of `theirs` there.
     """
 
     table: dict[str, Any]
@@ -107,7 +107,16 @@
 def merge_tables(
     base: dict[str, Any], mine: dict[str, Any], theirs: dict[str, Any]
 ) -> MergeResult:
-    """Puts what `mine` changes of `base` onto `theirs`."""
+    """Applies the changes from `base` to `mine` to `theirs`.
+
+    Args:
+        base: The common ancestor.
+        mine: The bundle whose changes are applied.
+        theirs: The bundle to change; it has priority in conflicts.
+
+    Returns:
+        The merged bundle and its conflicts.
+    """
     conflicts: list[str] = []
     table = _merge(base, mine, theirs, (), conflicts)
     return MergeResult(table, tuple(conflicts))
--- a/caroblug/bundle/_files.py
+++ b/caroblug/bundle/_files.py
@@ -1,7 +1,8 @@
-"""What the operators' tool is given: files, addresses, public keys.
+"""Argument types of `caroblug-bundle`: files, addresses and keys.
 
-Each function is a type of argparse: a mistake ends the program with exit
-code 2 and one line that names it.
+The functions are used as `type` of argparse arguments. They raise
+ArgumentTypeError, which ends the program with exit code 2 and a one-line error
+message.
 """
 
 import argparse
@@ -22,11 +23,11 @@
 
 @attrs.frozen
 class BundleFile:
-    """A bundle as an operator wrote it.
+    """A bundle file written by an operator.
 
     Attributes:
-        path: The file.
-        table: The parsed TOML.
+        path: Path of the file.
+        table: Its parsed TOML.
     """
 
     path: pathlib.Path
@@ -35,11 +36,11 @@
 
 @attrs.frozen
 class RecordFile:
-    """A signed record.
+    """A file with a signed record.
 
     Attributes:
-        path: The file.
-        record: Its record.
+        path: Path of the file.
+        record: The decoded record.
     """
 
     path: pathlib.Path
@@ -48,14 +49,14 @@
 
 @attrs.frozen
 class HostPort:
-    """An address on the command line."""
+    """Network address from the command line."""
 
     host: str
     port: int
 
 
 def bundle_file(value: str) -> BundleFile:
-    """Reads a bundle."""
+    """Reads and parses a bundle file."""
     path = pathlib.Path(value)
     try:
         return BundleFile(path, tomllib.loads(_read_bytes(path).decode()))
@@ -66,7 +67,7 @@
 
 
 def record_file(value: str) -> RecordFile:
-    """Reads a record."""
+    """Reads and decodes a record file."""
     path = pathlib.Path(value)
     record = decode_record(_read_bytes(path))
     if record is None:
@@ -75,27 +76,27 @@
 
 
 def private_key_file(value: str) -> bytes:
-    """Reads an operator's private key."""
+    """Reads an operator's private key from a file."""
     data = _read_bytes(pathlib.Path(value))
     try:
         key = bytes.fromhex(data.decode("ascii").strip())
         Ed25519PrivateKey.from_private_bytes(key)
     except (UnicodeDecodeError, ValueError):
         raise _make_argument_error(
-            f"{value}: is no key as `keygen` writes it"
+            f"{value}: is not a private key written by `keygen`"
         ) from None
     return key
 
 
 def public_key(value: str) -> str:
-    """Checks an operator's public key."""
+    """Checks an operator's public key and returns it in lower case."""
     try:
         length = len(bytes.fromhex(value))
     except ValueError:
         length = 0
     if length != _PUBLIC_KEY_BYTES:
         raise _make_argument_error(
-            f"{value!r} is no public key as `keygen` prints it"
+            f"{value!r} is not a public key printed by `keygen`"
         )
     return value.lower()
 
@@ -113,9 +114,9 @@
 
 
 def whole_number(value: str) -> int:
-    """Parses a whole number above zero."""
+    """Parses a positive integer."""
     if not value.isascii() or not value.isdigit() or int(value) < 1:
-        raise _make_argument_error(f"{value!r} is no whole number above 0")
+        raise _make_argument_error(f"{value!r} is not a positive integer")
     return int(value)
 
 
--- a/caroblug/bundle/_fleet.py
+++ b/caroblug/bundle/_fleet.py
@@ -1,4 +1,4 @@
-"""What the tool asks of instances: their status, and to leave."""
+"""Fetches the status of instances and withdraws them."""
 
 import datetime
 import time
@@ -24,15 +24,16 @@
 
 @attrs.frozen
 class InstanceStatus:
-    """What one instance says of itself.
+    """Status that an instance reports about itself.
 
     Attributes:
-        record: The instance as the platform lists it.
-        answered: Whether it gave an answer.
-        version: Version in force there.
-        in_force_ms: For how long.
-        ready: Whether it takes new work.
-        running: Requests that run there.
+        record: The instance's record in the platform's instance list.
+        answered: Whether it returned a valid status; if not, the other fields
+            have their defaults.
+        version: Version of the bundle in force.
+        in_force_ms: Time since that bundle came into force.
+        ready: Whether it accepts new work.
+        running: Number of requests running on it.
     """
 
     record: InstanceRecord
@@ -44,7 +45,7 @@
 
 
 def fetch_status(record: InstanceRecord) -> InstanceStatus:
-    """Asks one instance for its status."""
+    """Fetches the status of one instance."""
     if not record.http_port:
         return InstanceStatus(record, answered=False)
     client = JsonHttpClient(
@@ -70,39 +71,43 @@
 
 
 def fetch_statuses(records: Iterable[InstanceRecord]) -> list[InstanceStatus]:
-    """Asks every instance, a few at once."""
+    """Fetches the status of every instance, 32 at a time.
+
+    Returns:
+        The statuses, ordered by instance name.
+    """
     ordered = sorted(records, key=lambda r: r.instance)
     return pool.Pool(_MAX_CONCURRENT_REQUESTS).map(fetch_status, ordered)
 
 
 def format_status_line(status: InstanceStatus) -> str:
-    """Returns one line about an instance."""
+    """Formats the status of an instance as one line."""
     record = status.record
-    place = f"{record.instance} ({record.role}, {record.data_centre})"
+    label = f"{record.instance} ({record.role}, {record.data_centre})"
     leaving = ", leaving" if record.leaving else ""
     if not status.answered:
-        return f"{place}: no answer{leaving}"
+        return f"{label}: no answer{leaving}"
     now = datetime.datetime.now(datetime.UTC)
     age = datetime.timedelta(milliseconds=status.in_force_ms)
     since = (now - age).isoformat(timespec="seconds")
     ready = "ready" if status.ready else "not ready"
     return (
-        f"{place}: version {status.version} since {since} "
+        f"{label}: version {status.version} since {since} "
         f"({status.in_force_ms / _MS_PER_S:.1f} s), {ready}{leaving}"
     )
 
 
 @attrs.frozen
 class Drained:
-    """The instance has ended, or holds no work any more."""
+    """The instance no longer responds and counts as drained."""
 
 
 @attrs.frozen
 class StillRunning:
-    """The instance had not drained in time.
+    """The instance has not drained within the timeout.
 
     Attributes:
-        running: Requests that run there; -1 if it has not said.
+        running: Number of requests running on it; -1 if unknown.
     """
 
     running: int
@@ -110,18 +115,18 @@
 
 @attrs.frozen
 class NotListed:
-    """The platform's list has no such instance."""
+    """The platform's instance list does not contain the instance."""
 
 
 def withdraw(
     instances: InstanceList, name: str, wait_ms: int, clock: Clock
 ) -> Drained | StillRunning | NotListed | InstancesUnavailable:
-    """Takes an instance out and waits until it has drained.
+    """Withdraws an instance and waits until it has drained.
 
     Args:
         instances: The platform's instance list.
         name: Name of the instance.
-        wait_ms: How long to wait.
+        wait_ms: Maximum time to wait for the drain.
         clock: Source of time.
     """
     listed = instances.fetch()
--- a/caroblug/bundle/_log.py
+++ b/caroblug/bundle/_log.py
@@ -1,4 +1,4 @@
-"""The bundles on the log as an operator's tool sees them."""
+"""Reads bundles from the log and publishes records on it."""
 
 import time
 from collections.abc import Collection
@@ -27,11 +27,11 @@
 
 @attrs.frozen
 class Accepted:
-    """The record came into force.
+    """The record was accepted as a head.
 
     Attributes:
-        version: Its version.
-        appends: How often it was appended; 0 if it was there before.
+        version: Version of the record.
+        appends: Number of times it was appended; 0 if the log already held it.
     """
 
     version: int
@@ -40,7 +40,7 @@
 
 @attrs.frozen
 class Superseded:
-    """Another record won.
+    """Another record became the head instead.
 
     Attributes:
         version: Version of the head.
@@ -53,10 +53,10 @@
 
 @attrs.frozen
 class Unconfirmed:
-    """The log gave no answer in time.
+    """The log service did not confirm the record within the timeout.
 
     Attributes:
-        message: What was seen last.
+        message: The last error.
         maybe_written: Whether the record may be in the log.
     """
 
@@ -65,12 +65,12 @@
 
 
 class BundleLog:
-    """Reads the bundles' stream and publishes on it.
+    """Reads the log's bundle stream and appends records to it.
 
     Args:
         log: The log service.
-        operators: Public keys whose signatures count.
-        signatures: How many of them a record needs.
+        operators: Public keys of the operators whose signatures are valid.
+        signatures: Number of valid signatures that a record needs.
         clock: Source of time.
     """
 
@@ -90,20 +90,28 @@
 
     @property
     def head(self) -> Head | None:
-        """The bundle in force, as of the last read."""
+        """The head as of the last read; None if there is none."""
         return self._fold.head
 
     @property
     def lacks_sections(self) -> bool:
-        """Whether the log no longer holds all of its newest bundle."""
+        """Whether the log lacks sections of its newest bundle."""
         return self._fold.missing is not None
 
     def table(self, digest: str) -> dict[str, Any] | None:
-        """Returns a bundle that was the head while the log was read."""
+        """Returns the bundle with a digest that was the head at some offset.
+
+        Returns:
+            The parsed bundle; None if no head with this digest was read.
+        """
         return self._tables.get(digest)
 
     def read(self) -> LogUnavailable | None:
-        """Reads on to the log's end."""
+        """Reads the log from the last read offset to its end.
+
+        Returns:
+            None, or the failure if the log service is unavailable.
+        """
         while True:
             page = self._log.read(BUNDLE_STREAM, self._fold.next_offset)
             if isinstance(page, LogUnavailable):
@@ -121,15 +129,16 @@
     def publish(
         self, record: BundleRecord, wait_ms: int
     ) -> Accepted | Superseded | Rejected | Unconfirmed:
-        """Appends a record and tells what became of it.
+        """Appends a record and returns whether it became the head.
 
-        An append whose answer is lost is looked up from the offset read so
-        far, by its digest, and appended again only if it is not there: the
-        log may have taken it.
+        The log may have accepted an append whose reply was lost. The record is
+        therefore looked up by its digest, from the offset read so far, and
+        appended again only if it is not found.
 
         Args:
             record: The signed record.
-            wait_ms: How long to try while the log gives no answer.
+            wait_ms: Maximum time to retry while the log service is
+                unavailable.
         """
         end_ms = self._clock.now_ms() + wait_ms
         appends = 0
@@ -160,7 +169,12 @@
     def _look_up(
         self, record: BundleRecord, maybe_written: bool
     ) -> Accepted | Superseded | Rejected | LogUnavailable | None:
-        """Reads on; returns None if the record is to be appended."""
+        """Reads new records and checks what happened to the given one.
+
+        Returns:
+            The outcome, or the failure to read the log; None if the record
+            should be appended.
+        """
         for attempt in range(_MAX_LOOK_UPS if maybe_written else 1):
             if attempt:
                 time.sleep(_RETRY_INTERVAL_S)
--- a/caroblug/bundle/_parser.py
+++ b/caroblug/bundle/_parser.py
@@ -1,4 +1,4 @@
-"""The command line of `caroblug-bundle`."""
+"""Command-line parser of `caroblug-bundle`."""
 
 import argparse
 import sys
@@ -20,13 +20,13 @@
         required=required,
         type=files.public_key,
         metavar="PUBLIC_KEY",
-        help="an operator's public key; may be given several times",
+        help="public key of an operator; may be given several times",
     )
     parser.add_argument(
         "--signatures",
         type=files.whole_number,
         default=1,
-        help="how many of them must sign",
+        help="number of operators that must sign; 1 if not given",
     )
 
 
@@ -35,7 +35,7 @@
         "--wait-s",
         type=files.whole_number,
         default=_WAIT_S,
-        help=f"how long to try; {_WAIT_S} if not given",
+        help=f"maximum time in seconds; {_WAIT_S} if not given",
     )
 
 
@@ -45,7 +45,7 @@
         required=required,
         type=files.host_port,
         metavar="HOST:PORT",
-        help="the platform's instance list",
+        help="address of the platform's instance list",
     )
 
 
@@ -58,7 +58,7 @@
 
 
 def make_parser() -> argparse.ArgumentParser:
-    """Returns the parser; each command sets `run`."""
+    """Creates the parser; each command sets `run` to its function."""
     parser = argparse.ArgumentParser(
         "caroblug-bundle", description="Makes and publishes signed bundles."
     )
@@ -72,26 +72,38 @@
         command.set_defaults(run=run)
         return command
 
-    keygen = _command("keygen", commands.keygen, "make an operator's key")
+    keygen = _command(
+        "keygen", commands.keygen, "generate an operator's key pair"
+    )
     keygen.add_argument("--out", required=True, metavar="FILE")
 
-    newkey = _command("newkey", commands.newkey, "make a caller's key")
+    newkey = _command(
+        "newkey", commands.newkey, "generate a client account's key"
+    )
     newkey.add_argument("--client-account", required=True)
 
-    check = _command("check", commands.check, "report every mistake")
+    check = _command(
+        "check", commands.check, "report every problem in a bundle"
+    )
     _add_bundle(check)
 
-    diff = _command("diff", commands.diff, "show what changes for whom")
+    diff = _command(
+        "diff",
+        commands.diff,
+        "show what a bundle changes and which callers it affects",
+    )
     _add_bundle(diff)
     diff.add_argument(
         "--against",
         type=files.bundle_file,
         metavar="OLD.toml",
-        help="compare with this bundle and not with the one in force",
+        help="compare with this bundle instead of the one in force",
     )
     _add_log(diff, required=False)
 
-    sign = _command("sign", commands.sign, "make or co-sign a record")
+    sign = _command(
+        "sign", commands.sign, "create a record, or add a signature to one"
+    )
     _add_bundle(sign)
     sign.add_argument(
         "--key", required=True, type=files.private_key_file, metavar="FILE"
@@ -100,25 +112,33 @@
     _add_log(sign)
 
     rebase = _command(
-        "rebase", commands.rebase, "put a record's changes onto the winner's"
+        "rebase",
+        commands.rebase,
+        "apply a record's changes to the bundle in force",
     )
     _add_record(rebase)
     rebase.add_argument("--out", required=True, metavar="BUNDLE.toml")
     _add_log(rebase)
 
-    publish = _command("publish", commands.publish, "append a record")
+    publish = _command(
+        "publish", commands.publish, "append a record to the log"
+    )
     _add_record(publish)
     _add_log(publish)
     _add_wait(publish)
 
     status = _command(
-        "status", commands.status, "show what is in force, and where"
+        "status",
+        commands.status,
+        "show the bundle in force and each instance's version",
     )
     _add_log(status)
     _add_instances(status, required=False)
 
     withdraw = _command(
-        "withdraw", commands.withdraw, "take an instance out and wait"
+        "withdraw",
+        commands.withdraw,
+        "withdraw an instance and wait until it has drained",
     )
     withdraw.add_argument("instance", metavar="INSTANCE")
     _add_instances(withdraw, required=True)
@@ -127,7 +147,15 @@
 
 
 def run(arguments: list[str] | None = None) -> int:
-    """Runs one command and returns its exit code."""
+    """Runs one command.
+
+    Args:
+        arguments: Command-line arguments without the program name; None for
+            those of the process.
+
+    Returns:
+        The exit code.
+    """
     parser = make_parser()
     options = parser.parse_args(arguments)
     from_log = options.command == "diff" and options.against is None
--- a/caroblug/bundle/tests/test_commands.py
+++ b/caroblug/bundle/tests/test_commands.py
@@ -1,4 +1,4 @@
-"""Tests of the operators' tool, in process and on a fake log."""
+"""Tests of `caroblug-bundle`, run in process on a fake log."""
 
 import pytest
 import tomli_w
@@ -18,11 +18,11 @@
 }
 
 
-class _Desk:
-    """Two operators, a folder and a log."""
+class _Workspace:
+    """Directory with the keys of two operators, and a fake log."""
 
-    def __init__(self, folder, capsys):
-        self.folder = folder
+    def __init__(self, directory, capsys):
+        self.directory = directory
         self.log = FakeLog()
         self._capsys = capsys
         self.public_keys = []
@@ -31,10 +31,10 @@
             self.public_keys.append(self.output.strip())
 
     def path(self, name):
-        return str(self.folder / name)
+        return str(self.directory / name)
 
     def write(self, name, **changes):
-        path = self.folder / name
+        path = self.directory / name
         path.write_text(tomli_w.dumps(_BUNDLE | changes))
         return str(path)
 
@@ -73,16 +73,16 @@
 
 
 @pytest.fixture
-def desk(tmp_path, capsys, monkeypatch):
-    made = _Desk(tmp_path, capsys)
+def workspace(tmp_path, capsys, monkeypatch):
+    created = _Workspace(tmp_path, capsys)
     monkeypatch.setattr(
-        _commands, "make_log_service", lambda host, port: made.log
+        _commands, "make_log_service", lambda host, port: created.log
     )
-    return made
+    return created
 
 
-def test_check_reports_every_mistake_with_its_place(desk):
-    path = desk.write(
+def test_check_reports_every_problem_with_its_key_path(workspace):
+    path = workspace.write(
         "wrong.toml",
         models={"dome-7b": {"layers": 0, "vocabulary": 512, "shape": 1}},
         services={"booking": {"idempotent_methods": ["GET", "get"]}},
@@ -106,8 +106,8 @@
             },
         ],
     )
-    assert desk.run("check", path) == 2
-    for place in (
+    assert workspace.run("check", path) == 2
+    for key_path in (
         "models.dome-7b.layers: ",
         "models.dome-7b.shape: is unknown",
         "client_accounts.school-1.streams: ",
@@ -118,8 +118,8 @@
         "objectives.0.service: 'no-such' is no model or service",
         "objectives.1.measure: 'first_token' is not measured of a service",
     ):
-        assert f"wrong.toml: {place}" in desk.errors
-    assert len(desk.errors.splitlines()) == 9
+        assert f"wrong.toml: {key_path}" in workspace.errors
+    assert len(workspace.errors.splitlines()) == 9
 
 
 @pytest.mark.parametrize(
@@ -127,7 +127,7 @@
     [
         ["check", "{missing}"],
         ["check", "{binary}"],
-        ["check", "{folder}"],
+        ["check", "{directory}"],
         ["check", "{broken}"],
         ["publish", "{good}", "--log", "127.0.0.1:9", "--operator", "{key}"],
         ["publish", "{binary}", "--log", "127.0.0.1:9", "--operator", "{key}"],
@@ -152,125 +152,131 @@
         ],
     ],
 )
-def test_bad_input_gets_a_clear_error(desk, arguments):
-    """An operator sees a Python trace in the night and not the mistake."""
-    (desk.folder / "binary").write_bytes(b"\xff\xfe\x00")
-    (desk.folder / "broken").write_text("a = = 1")
-    words = {
-        "good": desk.write("good.toml"),
-        "missing": desk.path("missing"),
-        "binary": desk.path("binary"),
-        "broken": desk.path("broken"),
-        "folder": str(desk.folder),
-        "key": desk.public_keys[0],
+def test_bad_input_gets_a_clear_error(workspace, arguments):
+    """Guards against tracebacks instead of errors that name the bad input."""
+    (workspace.directory / "binary").write_bytes(b"\xff\xfe\x00")
+    (workspace.directory / "broken").write_text("a = = 1")
+    paths = {
+        "good": workspace.write("good.toml"),
+        "missing": workspace.path("missing"),
+        "binary": workspace.path("binary"),
+        "broken": workspace.path("broken"),
+        "directory": str(workspace.directory),
+        "key": workspace.public_keys[0],
     }
     try:
-        code = desk.run(*[a.format(**words) for a in arguments])
+        code = workspace.run(*[a.format(**paths) for a in arguments])
     except SystemExit as stopped:
         code = stopped.code
     assert code == 2
 
 
-def test_bytes_are_the_same_for_the_same_bundle(desk):
-    one = desk.write("one.toml")
+def test_bytes_are_the_same_for_the_same_bundle(workspace):
+    one = workspace.write("one.toml")
     backwards = dict(reversed(_BUNDLE.items()))
-    (desk.folder / "two.toml").write_text(tomli_w.dumps(backwards))
-    assert desk.sign(one, "one.record") == 0
-    assert desk.sign(desk.path("two.toml"), "two.record") == 0
-    first = (desk.folder / "one.record").read_bytes()
-    assert (desk.folder / "two.record").read_bytes() == first
+    (workspace.directory / "two.toml").write_text(tomli_w.dumps(backwards))
+    assert workspace.sign(one, "one.record") == 0
+    assert workspace.sign(workspace.path("two.toml"), "two.record") == 0
+    first = (workspace.directory / "one.record").read_bytes()
+    assert (workspace.directory / "two.record").read_bytes() == first
 
 
-def test_record_needs_enough_operators_of_one_mind(desk):
-    """A bundle that one operator wrote alone comes into force.
+def test_record_needs_enough_signatures_of_the_same_bundle(workspace):
+    """Guards against a bundle in force that too few operators reviewed.
 
-    Two of two must sign; the second one's tool refuses a record that was
-    not made from the bundle which that operator has reviewed.
+    Two of two operators must sign. The second operator's `sign` rejects a
+    record that was not made from the bundle that this operator reviewed.
     """
-    bundle = desk.write("one.toml")
-    other = desk.write("other.toml", limits={"max_tokens": 99})
-    assert desk.sign(bundle, "a.record", 0, signatures=2) == 0
-    assert "1 of 2 signatures" in desk.output
-    assert desk.publish("a.record", signatures=2) == 2
-    assert desk.log.records == []
-    assert desk.sign(other, "a.record", 1, signatures=2) == 2
-    assert "is not made from" in desk.errors
-    assert desk.sign(bundle, "a.record", 1, signatures=2) == 0
-    assert desk.publish("a.record", signatures=2) == 0
-
-
-def test_publish_whose_answer_is_lost_is_not_doubled(desk):
-    """The log holds the same version twice.
-
-    The append takes effect, but its answer never arrives; the operator is
-    told that it failed and publishes again.
+    bundle = workspace.write("one.toml")
+    other = workspace.write("other.toml", limits={"max_tokens": 99})
+    assert workspace.sign(bundle, "a.record", 0, signatures=2) == 0
+    assert "1 of 2 signatures" in workspace.output
+    assert workspace.publish("a.record", signatures=2) == 2
+    assert workspace.log.records == []
+    assert workspace.sign(other, "a.record", 1, signatures=2) == 2
+    assert "is not made from" in workspace.errors
+    assert workspace.sign(bundle, "a.record", 1, signatures=2) == 0
+    assert workspace.publish("a.record", signatures=2) == 0
+
+
+def test_publish_with_a_lost_reply_appends_once(workspace):
+    """Guards against appending the same record twice.
+
+    The append takes effect but its reply is lost, so that `publish` has to
+    look up the record before it retries.
     """
-    assert desk.sign(desk.write("one.toml"), "a.record") == 0
-    desk.log.lose_answers = 1
-    assert desk.publish("a.record") == 0
-    assert "version 1 is accepted" in desk.output
-    assert len(desk.log.records) == 1
-    assert desk.publish("a.record") == 0
-    assert len(desk.log.records) == 1
+    assert workspace.sign(workspace.write("one.toml"), "a.record") == 0
+    workspace.log.lose_answers = 1
+    assert workspace.publish("a.record") == 0
+    assert "version 1 is accepted" in workspace.output
+    assert len(workspace.log.records) == 1
+    assert workspace.publish("a.record") == 0
+    assert len(workspace.log.records) == 1
 
 
-def test_publish_in_an_outage_says_what_is_known(desk):
-    assert desk.sign(desk.write("one.toml"), "a.record") == 0
-    desk.log.down = True
-    assert desk.publish("a.record", wait_s=1) == 1
-    assert "nothing was written" in desk.errors
-    desk.log.down = False
-    assert desk.publish("a.record") == 0
+def test_publish_in_an_outage_reports_that_nothing_was_written(workspace):
+    assert workspace.sign(workspace.write("one.toml"), "a.record") == 0
+    workspace.log.down = True
+    assert workspace.publish("a.record", wait_s=1) == 1
+    assert "nothing was written" in workspace.errors
+    workspace.log.down = False
+    assert workspace.publish("a.record") == 0
 
 
-def test_beaten_operator_is_told_who_won_and_rebases(desk):
-    """One operator's new limit undoes another's, or is silently lost.
+def test_superseded_operator_sees_the_new_head_and_rebases(workspace):
+    """Guards against concurrent changes that overwrite each other.
 
-    Both signed on version 1. The second publish is refused before it is
-    appended; `rebase` puts its change onto the winner's.
+    Both records have version 1 as their parent. The second `publish` fails
+    before it appends, and `rebase` applies its changes to the new head.
     """
-    assert desk.sign(desk.write("base.toml"), "base.record") == 0
-    assert desk.publish("base.record") == 0
-    limits = desk.write("limits.toml", limits={"max_tokens": 50})
+    assert workspace.sign(workspace.write("base.toml"), "base.record") == 0
+    assert workspace.publish("base.record") == 0
+    limits = workspace.write("limits.toml", limits={"max_tokens": 50})
     accounts = _BUNDLE["client_accounts"] | {
         "school-2": {"key_hashes": [], "streams": 3}
     }
-    joins = desk.write("joins.toml", client_accounts=accounts)
-    assert desk.sign(limits, "a.record") == 0
-    assert desk.sign(joins, "b.record", 1) == 0
-    assert desk.publish("a.record") == 0
-    assert desk.publish("b.record") == 1
-    winner = decode_record((desk.folder / "a.record").read_bytes())
-    assert f"version 2 digest {winner.digest} won" in desk.errors
-    assert "caroblug-bundle rebase" in desk.errors
-    assert len(desk.log.records) == 2
-    merged = desk.path("merged.toml")
-    assert desk.on_log("rebase", desk.path("b.record"), "--out", merged) == 0
-    assert desk.on_log("diff", merged) == 0
-    assert desk.output.splitlines() == [
+    new_account = workspace.write("new_account.toml", client_accounts=accounts)
+    assert workspace.sign(limits, "a.record") == 0
+    assert workspace.sign(new_account, "b.record", 1) == 0
+    assert workspace.publish("a.record") == 0
+    assert workspace.publish("b.record") == 1
+    winner = decode_record((workspace.directory / "a.record").read_bytes())
+    assert f"version 2 digest {winner.digest} won" in workspace.errors
+    assert "caroblug-bundle rebase" in workspace.errors
+    assert len(workspace.log.records) == 2
+    merged = workspace.path("merged.toml")
+    assert (
+        workspace.on_log("rebase", workspace.path("b.record"), "--out", merged)
+        == 0
+    )
+    assert workspace.on_log("diff", merged) == 0
+    assert workspace.output.splitlines() == [
         "client_accounts.school-2: (not set) -> added "
         "[client account school-2]",
         "1 changes",
     ]
-    assert desk.sign(merged, "c.record", 1) == 0
-    assert desk.publish("c.record") == 0
+    assert workspace.sign(merged, "c.record", 1) == 0
+    assert workspace.publish("c.record") == 0
 
 
-def test_rebase_shows_where_both_changed_the_same(desk):
-    assert desk.sign(desk.write("base.toml"), "base.record") == 0
-    assert desk.publish("base.record") == 0
+def test_rebase_reports_conflicting_changes(workspace):
+    assert workspace.sign(workspace.write("base.toml"), "base.record") == 0
+    assert workspace.publish("base.record") == 0
     for name, tokens in (("a", 50), ("b", 60)):
-        path = desk.write(f"{name}.toml", limits={"max_tokens": tokens})
-        assert desk.sign(path, f"{name}.record") == 0
-    assert desk.publish("a.record") == 0
-    merged = desk.path("merged.toml")
-    assert desk.on_log("rebase", desk.path("b.record"), "--out", merged) == 1
-    assert "limits.max_tokens: both changed it" in desk.output
+        path = workspace.write(f"{name}.toml", limits={"max_tokens": tokens})
+        assert workspace.sign(path, f"{name}.record") == 0
+    assert workspace.publish("a.record") == 0
+    merged = workspace.path("merged.toml")
+    assert (
+        workspace.on_log("rebase", workspace.path("b.record"), "--out", merged)
+        == 1
+    )
+    assert "limits.max_tokens: both changed it" in workspace.output
 
 
-def test_diff_says_what_changes_for_whom(desk):
-    old = desk.write("old.toml")
-    new = desk.write(
+def test_diff_reports_changes_and_affected_callers(workspace):
+    old = workspace.write("old.toml")
+    new = workspace.write(
         "new.toml",
         client_accounts={
             "school-1": {"key_hashes": [], "streams": 9},
@@ -279,9 +285,9 @@
         limits={"max_tokens": 100, "deadline_ms": 9},
         services={},
     )
-    assert desk.run("diff", new, "--against", old) == 0
-    assert desk.output.splitlines() == [
-        "client_accounts.school-1.key_hashes: 1 keys end -> 0 keys begin "
+    assert workspace.run("diff", new, "--against", old) == 0
+    assert workspace.output.splitlines() == [
+        "client_accounts.school-1.key_hashes: 1 keys removed -> 0 keys added "
         "[client account school-1]",
         "client_accounts.school-1.streams: (not set) -> 9 "
         "[client account school-1]",
@@ -291,10 +297,10 @@
         "services.booking: present -> removed [callers of service booking]",
         "5 changes",
     ]
-    assert "x" * 8 not in desk.output
+    assert "x" * 8 not in workspace.output
 
 
-def test_status_line_says_since_when():
+def test_status_line_contains_the_start_time():
     record = InstanceRecord("entry-a", "entry", "h", 1, "a", False, 2)
     status = _fleet.InstanceStatus(record, True, 7, 1500, True, 0)
     line = _fleet.format_status_line(status)
--- a/caroblug/node/tests/test_bundles.py
+++ b/caroblug/node/tests/test_bundles.py
@@ -218,7 +218,7 @@
 
     @rule()
     def settle(self):
-        """Ends all faults; checks that all instances reach the reference head."""
+        """Ends all faults; checks that all instances get the reference head."""
         self.outage(down=False)
         self.partition(partitioned=False)
         for name in _NAMES:
