--- a/caroblug/core/limits/__init__.py
+++ b/caroblug/core/limits/__init__.py
@@ -1,6 +1,6 @@
-"""Shares, queues, admission, retry budgets and quarantine.
+"""Account shares, fair queues, load limits, retry budgets and quarantine.
 
-Names are imported when they are first used: the gateway needs three of them.
+Names are imported on first use: the gateway needs only three of them.
 """
 
 from caroblug.lazy import make_lazy
--- a/caroblug/core/limits/_account_weights.py
+++ b/caroblug/core/limits/_account_weights.py
@@ -1,4 +1,4 @@
-"""The weight of each client account at one engine."""
+"""Fair-queueing weight of each client account at one engine."""
 
 import attrs
 
@@ -10,11 +10,12 @@
 
 
 class AccountWeights:
-    """Adds up the weights of the streams that an account has here.
+    """Computes the weight of each account from its streams at this engine.
 
-    An account's weight is split over all its streams, wherever they run, so
-    that its weights at all engines add up to its own. Each stream was opened
-    with the weight that was right then; the newest one is taken for all.
+    The weight of an account is divided among all its streams, at all engines,
+    so that its weights at all engines add up to the weight of the account.
+    The weight per stream changes as streams open and close; the value of the
+    newest stream applies to all streams of the account.
     """
 
     def __init__(self) -> None:
@@ -22,7 +23,7 @@
         self._sessions: dict[str, str] = {}
 
     def __len__(self) -> int:
-        """Returns how many accounts have streams here."""
+        """Returns the number of accounts with streams at this engine."""
         return len(self._accounts)
 
     def on_stream(
@@ -30,27 +31,30 @@
         client_account: str,
         session: str,
         stream_weight: float,
-        most: float,
+        max_weight: float,
     ) -> float:
-        """Notes a stream, once, and returns its account's weight here.
+        """Adds a stream if it is new and returns the weight of its account.
 
         Args:
-            client_account: Whose stream it is.
-            session: The stream.
-            stream_weight: Weight that one of the account's streams has, > 0.
-            most: The account's own weight. Guards against a burst whose
-                streams were opened before their entries heard of each other:
-                each was given too much.
+            client_account: Account that the stream belongs to.
+            session: Session name of the stream.
+            stream_weight: Weight of one stream of the account, > 0.
+            max_weight: Weight of the whole account, an upper bound of the
+                result. In a burst, entries open streams before they know of
+                each other's, and assign each stream too high a weight.
+
+        Returns:
+            The weight of the account at this engine.
         """
         account = self._accounts.setdefault(client_account, _Account())
         if session not in self._sessions:
             self._sessions[session] = client_account
             account.sessions += 1
             account.stream_weight = stream_weight
-        return min(most, account.stream_weight * account.sessions)
+        return min(max_weight, account.stream_weight * account.sessions)
 
     def on_end(self, session: str) -> None:
-        """Forgets a stream; one that is not known does nothing."""
+        """Removes a stream; an unknown one is ignored."""
         client_account = self._sessions.pop(session, None)
         if client_account is None:
             return
--- a/caroblug/core/limits/_fair_queue.py
+++ b/caroblug/core/limits/_fair_queue.py
@@ -1,11 +1,11 @@
-"""Queues of an engine's work: fair by client account, or first come.
+"""Queues of items for an engine: fair among client accounts, or FIFO.
 
 References:
     Sheng et al., "Fairness in Serving Large Language Models", OSDI 2024: a
     virtual token counter per client, in weighted tokens.
     Goyal et al., "Start-time Fair Queueing", SIGCOMM 1996: an account that
-    was idle starts at the counter of the item in service, which bounds how
-    far two waiting accounts can part.
+    was idle starts at the counter of the item in service, which bounds the
+    difference between the counters of any two waiting accounts.
 """
 
 import abc
@@ -16,15 +16,15 @@
 
 _T = TypeVar("_T")
 
-_IDLE_COUNTERS = 64
+_IDLE_COUNTERS_BEFORE_SWEEP = 64
 
 
 class ItemQueue(abc.ABC, Generic[_T]):
-    """The order in which an engine's waiting items are served."""
+    """Queue that decides the order in which waiting items are served."""
 
     @abc.abstractmethod
     def __len__(self) -> int:
-        """Returns how many items wait."""
+        """Returns the number of waiting items."""
 
     @abc.abstractmethod
     def put(
@@ -33,11 +33,11 @@
         """Adds an item.
 
         Args:
-            client_account: Whose item it is.
+            client_account: Account that the item belongs to.
             item: The item.
-            cost: Its cost in weighted tokens, > 0.
-            weight: The account's share relative to others, > 0; the newest
-                one given counts for all its items that wait.
+            cost: Cost of the item in weighted tokens, > 0.
+            weight: Share of the account relative to others, > 0. The newest
+                value applies to all waiting items of the account.
         """
 
     @abc.abstractmethod
@@ -45,19 +45,20 @@
         """Removes and returns the next item; the queue must not be empty."""
 
     @abc.abstractmethod
-    def get_excluding(self, is_full: Callable[[str], bool]) -> _T | None:
-        """Removes and returns the next item of an account that is not full.
+    def get_excluding(self, is_excluded: Callable[[str], bool]) -> _T | None:
+        """Removes and returns the next item, passing over some accounts.
 
         Args:
-            is_full: Tells whether an account is to be passed over.
+            is_excluded: Returns whether an account is passed over.
 
         Returns:
-            The item; None if there is none, or nobody is preferred.
+            The item; None if no other account waits, or if the queue does
+            not distinguish accounts.
         """
 
 
 class FifoQueue(ItemQueue[_T]):
-    """Serves items in the order they came: the baseline of measurements."""
+    """Serves items in order of arrival; the baseline in benchmarks."""
 
     def __init__(self) -> None:
         self._items: collections.deque[_T] = collections.deque()
@@ -76,25 +77,27 @@
         """Removes and returns the oldest item."""
         return self._items.popleft()
 
-    def get_excluding(self, is_full: Callable[[str], bool]) -> _T | None:
-        """Returns None: nobody is preferred."""
-        del is_full
+    def get_excluding(self, is_excluded: Callable[[str], bool]) -> _T | None:
+        """Returns None: the queue does not distinguish accounts."""
+        del is_excluded
         return None
 
 
 class FairQueue(ItemQueue[_T]):
-    """Serves the waiting account that has had the least weighted service.
+    """Serves the waiting account that has received the least service.
 
-    State is one counter for each account that waits, and for each idle one
-    whose counter is still ahead of the item in service.
+    Service is counted in weighted tokens, divided by the account's weight.
+    The virtual time is the least counter of a waiting account when the last
+    item was taken. The state is one counter for each waiting account, and for
+    each idle one whose counter is still above the virtual time.
     """
 
     def __init__(self) -> None:
         self._waiting: dict[str, collections.deque[tuple[_T, float]]] = {}
         self._weights: dict[str, float] = {}
-        self._served: dict[str, float] = {}
-        self._order: list[tuple[float, str]] = []
-        self._floor = 0.0
+        self._counters: dict[str, float] = {}
+        self._heap: list[tuple[float, str]] = []
+        self._virtual_time = 0.0
         self._length = 0
 
     def __len__(self) -> int:
@@ -102,18 +105,18 @@
 
     @property
     def counters(self) -> int:
-        """How many accounts' counters are kept."""
-        return len(self._served)
+        """Number of accounts with a counter."""
+        return len(self._counters)
 
     def put(
         self, client_account: str, item: _T, cost: float, weight: float = 1.0
     ) -> None:
-        """Adds an item behind the account's others."""
+        """Adds an item behind the other items of its account."""
         queue = self._waiting.get(client_account)
         if queue is None:
             queue = self._waiting[client_account] = collections.deque()
-            served = self._served.get(client_account, 0.0)
-            self._served[client_account] = max(served, self._floor)
+            served = self._counters.get(client_account, 0.0)
+            self._counters[client_account] = max(served, self._virtual_time)
             self._push(client_account)
         self._weights[client_account] = weight
         queue.append((item, cost))
@@ -121,64 +124,69 @@
 
     def get(self) -> _T:
         """Removes and returns the next item."""
-        served, account = heapq.heappop(self._order)
-        self._advance(served)
+        served, account = heapq.heappop(self._heap)
+        self._advance_virtual_time(served)
         return self._serve(account)
 
-    def get_excluding(self, is_full: Callable[[str], bool]) -> _T | None:
-        """Removes and returns the next item of an account that is not full.
+    def get_excluding(self, is_excluded: Callable[[str], bool]) -> _T | None:
+        """Removes and returns the next item, passing over some accounts.
 
-        Accounts that are passed over keep their counters and their places.
+        Accounts that are passed over keep their counters and positions.
         """
-        passed = []
+        skipped = []
         item = None
-        while self._order and item is None:
-            served, account = heapq.heappop(self._order)
-            if is_full(account):
-                passed.append((served, account))
+        while self._heap and item is None:
+            served, account = heapq.heappop(self._heap)
+            if is_excluded(account):
+                skipped.append((served, account))
                 continue
-            self._advance(passed[0][0] if passed else served)
+            self._advance_virtual_time(skipped[0][0] if skipped else served)
             item = self._serve(account)
-        for entry in passed:
-            heapq.heappush(self._order, entry)
+        for entry in skipped:
+            heapq.heappush(self._heap, entry)
         return item
 
-    def _advance(self, served: float) -> None:
-        if served < self._floor:
-            raise AssertionError("the least counter went back")
-        self._floor = served
+    def _advance_virtual_time(self, served: float) -> None:
+        if served < self._virtual_time:
+            raise AssertionError("virtual time went backwards")
+        self._virtual_time = served
 
     def _serve(self, account: str) -> _T:
         queue = self._waiting[account]
         item, cost = queue.popleft()
-        self._served[account] += cost / self._weights[account]
+        self._counters[account] += cost / self._weights[account]
         self._length -= 1
         if queue:
             self._push(account)
         else:
             del self._waiting[account]
             del self._weights[account]
-            self._forget_idle()
+            self._drop_idle_counters()
         return item
 
     def _push(self, account: str) -> None:
-        heapq.heappush(self._order, (self._served[account], account))
+        heapq.heappush(self._heap, (self._counters[account], account))
 
-    def _forget_idle(self) -> None:
-        """Drops counters at or below the floor: they would start there.
+    def _drop_idle_counters(self) -> None:
+        """Drops counters of idle accounts that have no effect.
 
-        When nothing waits, nobody is behind anybody, and all start anew.
+        An account without a counter starts at the virtual time, so counters
+        at or below it can go. When no item waits, the virtual time moves up
+        to the highest counter and all counters go.
         """
         if not self._waiting:
-            self._floor = max(self._served.values())
-            self._served.clear()
+            self._virtual_time = max(self._counters.values())
+            self._counters.clear()
             return
-        if len(self._served) <= 2 * len(self._waiting) + _IDLE_COUNTERS:
+        if (
+            len(self._counters)
+            <= 2 * len(self._waiting) + _IDLE_COUNTERS_BEFORE_SWEEP
+        ):
             return
-        self._served = {
+        self._counters = {
             account: served
-            for account, served in self._served.items()
-            if account in self._waiting or served > self._floor
+            for account, served in self._counters.items()
+            if account in self._waiting or served > self._virtual_time
         }
 
 
--- a/caroblug/core/limits/_isolation_queue.py
+++ b/caroblug/core/limits/_isolation_queue.py
@@ -1,4 +1,4 @@
-"""Turns of suspects, which run with nothing else in the engine."""
+"""Queue of items that run isolated, alternating with batches of others."""
 
 import collections
 import enum
@@ -8,7 +8,7 @@
 
 
 class BatchSource(enum.Enum):
-    """Whose turn it is when a batch may be made."""
+    """Items from which the next batch for the engine may be taken."""
 
     NONE = "none"
     SUSPECT = "suspect"
@@ -16,12 +16,11 @@
 
 
 class IsolationQueue(Generic[_T]):
-    """Suspects' items, each run alone.
+    """Holds items of requests suspected of crashing engines.
 
-    Guards against companions lost with a request that crashes engines: a
-    crash takes everything in the engine with it, so a suspect has the engine
-    to itself. Suspects and others take turns, so that many suspects can't
-    keep the others out.
+    A crash affects every request in the engine, so each of these items runs
+    in the engine with nothing else. Isolated runs alternate with batches of
+    other items, so that many suspects can't starve the others.
     """
 
     def __init__(self) -> None:
@@ -33,15 +32,15 @@
         return len(self._items)
 
     def put(self, item: _T) -> None:
-        """Adds a suspect's item."""
+        """Adds an item that is to run isolated."""
         self._items.append(item)
 
     def next_source(self, running: int, waiting: int) -> BatchSource:
-        """Returns whose turn it is.
+        """Returns where the next batch may be taken from.
 
         Args:
-            running: Items in the engine.
-            waiting: Other items that wait.
+            running: Number of items in the engine.
+            waiting: Number of other items that wait.
         """
         if self._running:
             return BatchSource.NONE
@@ -53,12 +52,12 @@
         return BatchSource.NONE if running else BatchSource.SUSPECT
 
     def get(self) -> _T:
-        """Removes and returns the next suspect's item; it now runs."""
+        """Removes and returns the next item; its isolated run begins."""
         self._running = True
         return self._items.popleft()
 
     def on_done(self) -> None:
-        """Takes it that the suspect's item has run, or was not."""
+        """Ends the isolated run, if there is one, run or dropped."""
         if self._running:
             self._running = False
             self._others_next = True
--- a/caroblug/core/limits/tests/test_account_weights.py
+++ b/caroblug/core/limits/tests/test_account_weights.py
@@ -1,13 +1,13 @@
-"""The weight of an account at one engine."""
+"""Tests of the weight of an account at one engine."""
 
 from caroblug.core.limits import AccountWeights
 
 
 def test_streams_share_the_account_weight_and_never_exceed_it():
-    """A burst is served at many times the account's share.
+    """A burst gets many times the account's share of an engine.
 
-    Its streams were opened at two entries before these heard of each other,
-    each with more weight than was right.
+    It comes about when two entries open streams before they know of each
+    other's, and assign each stream too high a weight.
     """
     weights = AccountWeights()
     first = weights.on_stream("heavy", "stream-0", 1 / 40, 1.0)
--- a/caroblug/core/limits/tests/test_fair_queue.py
+++ b/caroblug/core/limits/tests/test_fair_queue.py
@@ -1,4 +1,4 @@
-"""Bounded unfairness, work conservation and order of the queues."""
+"""Tests of fairness bounds, work conservation and order of the queues."""
 
 import collections
 
@@ -38,11 +38,11 @@
     st.lists(st.one_of(_PUTS, _GET), max_size=300),
 )
 def test_unfairness_against_the_fluid_share_is_bounded(weights, operations):
-    """A light account waits behind everything a heavy one has queued.
+    """A light account waits behind everything that a heavy one has queued.
 
-    However items arrive, two accounts that both wait all the time get service
-    in the ratio of their weights, apart from one item of each: what the ideal
-    fluid share would give, within the largest item.
+    For any order of arrivals, the service of two accounts that are both
+    backlogged differs from the ideal fluid share, the ratio of their weights,
+    by at most the largest item of each.
     """
     queue = FairQueue()
     largest = dict.fromkeys(_ACCOUNTS, 0.0)
@@ -78,10 +78,10 @@
 
 
 def test_idle_account_saves_nothing_up():
-    """An account that was away comes back and shuts out the others.
+    """An account that was idle returns and starves the others.
 
-    Its counter had stood still while the others were served; it must start
-    at the item in service instead.
+    Its counter has not advanced while the others were served; it must start
+    at the virtual time instead.
     """
     queue = FairQueue()
     for number in range(100):
@@ -107,7 +107,7 @@
     st.lists(st.floats(0.5, 20.0), min_size=20, max_size=60),
 )
 def test_backlogged_accounts_are_served_by_weight(weights, costs):
-    """The unfairness bound again, over a backlog that never ends."""
+    """Checks the fairness bound while every account stays backlogged."""
     queue = FairQueue()
     for cost in costs:
         for account in _ACCOUNTS:
