--- a/caroblug/core/limits/_concurrency_limiter.py
+++ b/caroblug/core/limits/_concurrency_limiter.py
@@ -1,8 +1,8 @@
-"""Places for requests that are open at once."""
+"""Upper bound on the number of requests open at once."""
 
 
 class ConcurrencyLimiter:
-    """Counts open requests, and never admits more than there are places.
+    """Counts open requests and admits no more than a limit.
 
     Args:
         limit: Requests that may be open at once.
@@ -18,14 +18,14 @@
         return self._open
 
     def take(self) -> bool:
-        """Takes a place if there is one."""
+        """Takes a free slot; returns False if there is none."""
         if self._open >= self.limit:
             return False
         self._open += 1
         return True
 
     def release(self) -> None:
-        """Gives a place back."""
+        """Frees a slot."""
         self._open -= 1
         if self._open < 0:
-            raise AssertionError("more places were given back than taken")
+            raise AssertionError("more slots were released than taken")
--- a/caroblug/core/limits/_hedging.py
+++ b/caroblug/core/limits/_hedging.py
@@ -1,52 +1,54 @@
-"""When a repeatable call is sent once more, and how often that may be."""
+"""Delay and budget of hedged calls to plain services."""
 
 import collections
 
-_SAMPLES = 200
-_FEWEST = 20
+_MAX_SAMPLES = 200
+_MIN_SAMPLES = 20
 _QUANTILE = 0.95
-_LEAST_MS = 5
+_MIN_DELAY_MS = 5
 
 
 class Hedging:
-    """Budget and delay of second sendings of one kind of call.
+    """Decides when the calls of one service are hedged or retried.
 
-    A call that may be repeated is sent again when its answer takes longer
-    than that of most recent calls, or when it has failed. The budget is a
-    share of the calls: when everything is slow, as in an overload, hedges
-    stop by themselves instead of adding to it.
+    An idempotent call is sent again when its answer takes longer than most
+    recent calls did, or when the call has failed. The budget is a fraction of
+    the number of calls: when all calls are slow, as in an overload, hedging
+    stops instead of adding load.
 
     Args:
-        share: Second sendings per call, in the long run.
-        burst: Second sendings that may be saved up.
+        hedges_per_call: Long-term ratio of hedges and retries to calls.
+        burst: Maximum number of hedges and retries that can be saved up.
     """
 
-    def __init__(self, share: float = 0.1, burst: float = 10.0) -> None:
-        self._share = share
+    def __init__(
+        self, hedges_per_call: float = 0.1, burst: float = 10.0
+    ) -> None:
+        self._hedges_per_call = hedges_per_call
         self._burst = burst
         self._tokens = burst
-        self._took_ms: collections.deque[int] = collections.deque(
-            maxlen=_SAMPLES
+        self._latencies_ms: collections.deque[int] = collections.deque(
+            maxlen=_MAX_SAMPLES
         )
 
     @property
     def delay_ms(self) -> int | None:
-        """How long to wait before a hedge; None while too few are known."""
-        if len(self._took_ms) < _FEWEST:
+        """Delay before a hedge; None while too few latencies are known."""
+        if len(self._latencies_ms) < _MIN_SAMPLES:
             return None
-        ordered = sorted(self._took_ms)
-        return max(_LEAST_MS, ordered[int(len(ordered) * _QUANTILE)])
+        ordered = sorted(self._latencies_ms)
+        return max(_MIN_DELAY_MS, ordered[int(len(ordered) * _QUANTILE)])
 
     def on_call(self) -> None:
-        """Counts a call."""
-        self._tokens = min(self._burst, self._tokens + self._share)
+        """Counts a call, which adds to the budget."""
+        self._tokens = min(self._burst, self._tokens + self._hedges_per_call)
 
-    def on_answer(self, took_ms: int) -> None:
-        """Takes the latency of an answer."""
-        self._took_ms.append(took_ms)
+    def on_answer(self, latency_ms: int) -> None:
+        """Records the latency of an answered call."""
+        self._latencies_ms.append(latency_ms)
 
     def take(self) -> bool:
-        """Takes one second sending from the budget, if it allows one."""
+        """Takes one hedge or retry from the budget; False if it is spent."""
         if self._tokens < 1:
             return False
         self._tokens -= 1
--- a/caroblug/core/limits/_overload.py
+++ b/caroblug/core/limits/_overload.py
@@ -1,8 +1,9 @@
-"""Whether the engines can take one more stream, from their load reports.
+"""Estimate of a new stream's wait per token, from engine load reports.
 
 References:
-    Little, "A Proof for the Queuing Formula L = lambda W", 1961: streams in
-    the engines over tokens a second is the time between two tokens.
+    Little, "A Proof for the Queuing Formula L = lambda W", 1961: the number
+    of streams in an engine, divided by its tokens per second, is the time
+    between two tokens of a stream.
 """
 
 from collections.abc import Iterable
@@ -14,14 +15,14 @@
 
 @attrs.frozen
 class EngineLoad:
-    """What is known of one engine.
+    """Load and capacity of one engine.
 
     Attributes:
-        first_layer: First layer it holds.
-        end_layer: One past the last layer it holds.
-        tokens_per_s: Its capacity.
-        streams: Streams open there.
-        client_accounts: Accounts that have streams open there.
+        first_layer: First layer that the engine holds.
+        end_layer: One past the last layer that the engine holds.
+        tokens_per_s: Capacity of the engine in tokens per second.
+        streams: Number of streams open at the engine.
+        client_accounts: Number of accounts with streams open at the engine.
     """
 
     first_layer: int
@@ -34,59 +35,68 @@
 def estimate_wait_ms(
     engines: Iterable[EngineLoad], layers: int, account_streams: int
 ) -> float:
-    """Returns the wait for each token that one more stream would meet.
+    """Returns the time that one more stream would wait for each token.
 
-    Each engine shares its capacity by client account, so a stream waits for
-    one turn of each account there for each stream that its own account has
-    there, and never longer than for all streams. The chain's wait is its
-    slowest stage's; the best chain counts.
+    An engine divides its capacity fairly among client accounts. For each
+    token, a stream therefore waits until every account there has had one
+    turn for each stream of the stream's own account, and at most until every
+    stream has had one. The streams of the account are assumed to be spread
+    evenly over the engines that start at the same layer. The wait of a chain
+    is that of its slowest stage, and the chain with the shortest wait counts.
 
     Args:
-        engines: The engines of the model.
-        layers: Layers of the model.
-        account_streams: Streams that the account has at all engines.
+        engines: Engines that serve the model.
+        layers: Number of layers of the model.
+        account_streams: Number of streams of the account at all engines.
 
     Returns:
         The wait in milliseconds; infinite if no chain covers every layer.
     """
     loads = list(engines)
-    best = {layers: 0.0}
+    best_waits = {layers: 0.0}
     for engine in sorted(loads, key=lambda e: -e.first_layer):
-        rests = [w for end, w in best.items() if end <= engine.end_layer]
-        if not rests:
+        downstream_waits = [
+            w for end, w in best_waits.items() if end <= engine.end_layer
+        ]
+        if not downstream_waits:
             continue
-        peers = sum(e.first_layer == engine.first_layer for e in loads)
-        wait = max(min(rests), _wait_ms(engine, account_streams / peers))
-        known = best.get(engine.first_layer)
-        best[engine.first_layer] = wait if known is None else min(known, wait)
-    return best.get(0, float("inf"))
+        replicas = sum(e.first_layer == engine.first_layer for e in loads)
+        wait = max(
+            min(downstream_waits), _wait_ms(engine, account_streams / replicas)
+        )
+        known = best_waits.get(engine.first_layer)
+        best_waits[engine.first_layer] = (
+            wait if known is None else min(known, wait)
+        )
+    return best_waits.get(0, float("inf"))
 
 
 def _wait_ms(engine: EngineLoad, account_streams: float) -> float:
     turns = (account_streams + 1) * max(1, engine.client_accounts)
-    ahead = min(engine.streams, turns)
-    return ahead * _MS_PER_S / engine.tokens_per_s
+    tokens_ahead = min(engine.streams, turns)
+    return tokens_ahead * _MS_PER_S / engine.tokens_per_s
 
 
 class UnreportedStreams:
-    """Streams opened at each engine since its last report.
+    """Counts the streams opened at each engine since its last load report.
 
-    Guards against a burst between two reports: each of its streams would see
-    the same short queue, and together they would fill it many times over.
+    Guards against a burst between two reports: without the count, each new
+    stream would be admitted by the same short queue, and together they would
+    overfill it many times over.
     """
 
     def __init__(self) -> None:
         self._opened: dict[str, int] = {}
 
     def on_open(self, instances: Iterable[str]) -> None:
-        """Counts a stream at each of its engines."""
+        """Counts a new stream at each of its engines."""
         for instance in instances:
             self._opened[instance] = self._opened.get(instance, 0) + 1
 
     def on_report(self, instance: str) -> None:
-        """Takes it that a report counts what came before."""
+        """Resets the count: the report includes the streams opened so far."""
         self._opened.pop(instance, None)
 
     def count(self, instance: str) -> int:
-        """Returns the streams opened since the instance's last report."""
+        """Returns the number of streams opened since the last report."""
         return self._opened.get(instance, 0)
--- a/caroblug/core/limits/tests/test_hedging.py
+++ b/caroblug/core/limits/tests/test_hedging.py
@@ -1,13 +1,13 @@
-"""Tests of the budget of second sendings."""
+"""Tests of the delay and budget of hedged calls."""
 
 from caroblug.core.limits import Hedging
 
 
 def test_hedges_stop_when_everything_is_slow():
-    """An overloaded service gets twice the calls because it is slow.
+    """Hedging doubles the load of an overloaded service.
 
-    Every call waits past the delay; the budget lets a tenth of them be sent
-    again, and no more.
+    Every call takes longer than the hedging delay; the budget allows a hedge
+    for a tenth of the calls.
     """
     hedging = Hedging()
     sent = 0
--- a/caroblug/core/limits/tests/test_overload.py
+++ b/caroblug/core/limits/tests/test_overload.py
@@ -1,4 +1,4 @@
-"""The wait that one more stream would meet."""
+"""Tests of the estimated wait of a new stream and of Retry-After."""
 
 import random
 
@@ -18,16 +18,16 @@
     ]
 
 
-def test_slowest_stage_counts_and_the_best_engine_of_it():
+def test_wait_is_that_of_the_slowest_stage_on_its_best_engine():
     busy = attrs.evolve(_STAGE, streams=100, client_accounts=100)
     engines = _chain(_STAGE, busy, _STAGE)
     assert estimate_wait_ms(engines, 24, 1000) == 100.0
-    spare = attrs.evolve(_STAGE, first_layer=8, end_layer=16)
-    assert estimate_wait_ms([*engines, spare], 24, 1000) == 0.0
+    idle = attrs.evolve(_STAGE, first_layer=8, end_layer=16)
+    assert estimate_wait_ms([*engines, idle], 24, 1000) == 0.0
 
 
 def test_account_with_few_streams_waits_for_turns_not_for_the_backlog():
-    """A light account is refused because of a heavy one's backlog."""
+    """A light account is refused because of a heavy account's backlog."""
     load = attrs.evolve(_STAGE, streams=1000, client_accounts=2)
     engines = _chain(load)
     assert estimate_wait_ms(engines, 8, 0) == 2.0
@@ -51,7 +51,7 @@
 
 
 @given(st.integers(0, 2**32), st.integers(1, 10**6))
-def test_retry_after_is_spread_round_its_mean(seed, mean_ms):
+def test_retry_after_is_spread_around_its_mean(seed, mean_ms):
     ms = RetryAfter(random.Random(seed)).ms(mean_ms)
     assert 1 <= ms <= 1.5 * mean_ms
     assert ms >= mean_ms // 2
