--- a/caroblug/core/limits/_retry_budget.py
+++ b/caroblug/core/limits/_retry_budget.py
@@ -1,4 +1,4 @@
-"""Retry budget: recovery may cost only a share of the work that succeeds.
+"""Retry budgets per client account and in total, as token buckets.
 
 References:
     Beyer et al., "Site Reliability Engineering", 2016, chapter 21: retry
@@ -8,24 +8,24 @@
 import attrs
 
 _MS_PER_S = 1000.0
-_FORGET_ABOVE = 1024
+_MAX_BUCKETS_BEFORE_SWEEP = 1024
 
 
 @attrs.define
 class _Bucket:
     tokens: float
-    at_ms: int
+    filled_ms: int
 
 
 @attrs.frozen
 class RetryRule:
-    """How a bucket fills.
+    """Size and fill rates of a token bucket of retries.
 
     Attributes:
-        burst: Retries that may follow each other at once.
-        share: Retries earned by a request that succeeds.
-        per_s: Retries earned by time alone, so that an idle account's
-            budget comes back.
+        burst: Maximum number of retries in the bucket.
+        share: Retries added for each request that succeeds.
+        per_s: Retries added per second regardless of requests, so that the
+            budget of an idle account recovers.
     """
 
     burst: float
@@ -34,16 +34,16 @@
 
 
 class RetryBudget:
-    """A token bucket per client account, and one for all of them.
+    """Limits retries by a token bucket per client account and a total one.
 
-    Guards against recovery that becomes the overload: when engines keep
-    failing, each request would be sent several times. It shows as more
-    attempts than requests. An account whose requests break engines uses up
-    its own bucket only.
+    Guards against overload caused by recovery: when engines keep failing,
+    each request would be sent several times, which shows as more attempts
+    than requests. Both buckets must grant a retry, so that an account whose
+    requests crash engines is stopped by its own bucket.
 
     Args:
-        account: Rule of each account's bucket.
-        total: Rule of the bucket for all accounts.
+        account: Rule for the bucket of each account.
+        total: Rule for the bucket shared by all accounts.
     """
 
     def __init__(self, account: RetryRule, total: RetryRule) -> None:
@@ -56,15 +56,16 @@
         return len(self._buckets)
 
     def take(self, client_account: str, now_ms: int) -> int:
-        """Takes one retry.
+        """Takes one retry for an account if both buckets allow it.
 
         Returns:
-            0 if it was granted, else the milliseconds until one may be.
+            0 if the retry was granted, else the milliseconds until one can
+            be granted.
         """
         bucket = self._buckets.get(client_account)
         if bucket is None:
             bucket = _Bucket(self._account.burst, now_ms)
-            self._forget_full(now_ms)
+            self._drop_full_buckets(now_ms)
             self._buckets[client_account] = bucket
         _fill(bucket, self._account, now_ms)
         _fill(self._total, self._total_rule, now_ms)
@@ -79,15 +80,15 @@
         return 0
 
     def on_success(self, client_account: str) -> None:
-        """Earns the share of a request that has been answered."""
+        """Adds to the budgets for a request that has succeeded."""
         bucket = self._buckets.get(client_account)
         if bucket is not None:
-            _earn(bucket, self._account, self._account.share)
-        _earn(self._total, self._total_rule, self._total_rule.share)
+            _add(bucket, self._account, self._account.share)
+        _add(self._total, self._total_rule, self._total_rule.share)
 
-    def _forget_full(self, now_ms: int) -> None:
-        """Drops full buckets: a new one would be the same."""
-        if len(self._buckets) < _FORGET_ABOVE:
+    def _drop_full_buckets(self, now_ms: int) -> None:
+        """Drops full buckets, which equal new ones, once there are many."""
+        if len(self._buckets) < _MAX_BUCKETS_BEFORE_SWEEP:
             return
         for bucket in self._buckets.values():
             _fill(bucket, self._account, now_ms)
@@ -99,11 +100,11 @@
 
 
 def _fill(bucket: _Bucket, rule: RetryRule, now_ms: int) -> None:
-    _earn(bucket, rule, (now_ms - bucket.at_ms) * rule.per_s / _MS_PER_S)
-    bucket.at_ms = now_ms
+    _add(bucket, rule, (now_ms - bucket.filled_ms) * rule.per_s / _MS_PER_S)
+    bucket.filled_ms = now_ms
 
 
-def _earn(bucket: _Bucket, rule: RetryRule, tokens: float) -> None:
+def _add(bucket: _Bucket, rule: RetryRule, tokens: float) -> None:
     bucket.tokens = min(rule.burst, bucket.tokens + tokens)
 
 
--- a/caroblug/core/limits/_windowed_retry_budget.py
+++ b/caroblug/core/limits/_windowed_retry_budget.py
@@ -1,47 +1,53 @@
-"""How many requests may be sent a second time, in a sliding window.
+"""Retry budget over a sliding window, shared by several gateways.
 
-Several gateways keep one bound: each takes the ratio of its own requests, and
-an equal part of what is allowed beyond. A gateway that has used up its part
-may borrow from others, so that a loss which falls on few gateways can draw on
-the whole bound. The sum of all parts stays the same: the lender counts what
-it lends as used, for as long as the borrower may use it and a window more.
+Several gateways keep one bound: each may retry a ratio of its own requests,
+plus an equal part of a number of extra retries. A gateway that has spent its
+part may borrow from others, so that a failure that affects few gateways can
+draw on the whole bound. Loans leave the sum of all parts unchanged: the lender
+counts lent retries as used until the loan ends, and for one more window.
 """
 
 import collections
 
 import attrs
 
-_RATIO_KEPT = 0.85
+_RATIO_FRACTION = 0.85
 """Part of the ratio that is used. Callers' requests that never arrive here
-count for the bound but not for us, so that it errs on the safe side; the rest
-covers windows that begin between two of ours."""
+count towards the bound but not in this budget, which errs on the safe side.
+The rest is a margin for windows that begin between two of those used here."""
 
-_EXTRA_KEPT = 0.8
-"""Part of the extra that is used; a gateway more may be starting."""
+_EXTRA_FRACTION = 0.8
+"""Part of the extra retries that is used; one more gateway may be starting."""
 
-_UNKNOWN_GATEWAYS = 64
-"""Gateways that are assumed until their number is known."""
+_ASSUMED_GATEWAYS = 64
+"""Number of gateways that is assumed until it is known."""
 
 _LOAN_MS = 1000
-"""How long a borrowed repeat can be used."""
+"""How long a borrowed retry can be used."""
 
-_LENT_SHARE = 0.5
-"""Most of what a gateway has left that it lends at a time."""
+_MAX_LENT_FRACTION = 0.5
+"""Maximum fraction of its remaining retries that a gateway lends at once."""
 
 
 @attrs.define
 class _Window:
-    firsts: collections.deque = attrs.field(factory=collections.deque)
+    """First sends and retries of one service, as times in ms.
+
+    `repeats` holds when each retry counts as used, those lent to other gateways
+    included. `borrowed` holds when each borrowed retry expires.
+    """
+
+    first_sends: collections.deque = attrs.field(factory=collections.deque)
     repeats: list[int] = attrs.field(factory=list)
     borrowed: list[int] = attrs.field(factory=list)
 
 
 class WindowedRetryBudget:
-    """Counts first sends and repeats of each service.
+    """Limits the retries to each service, relative to its first sends.
 
     Args:
-        ratio: Repeats allowed for each request.
-        extra: Repeats allowed beyond that, of all gateways together.
+        ratio: Retries allowed per request.
+        extra: Extra retries allowed per window, for all gateways together.
         window_ms: Length of the window.
     """
 
@@ -59,13 +65,15 @@
 
     def on_first_send(self, service: str, now_ms: int) -> None:
         """Counts a request's first send."""
-        self._refresh(service, now_ms).firsts.append(now_ms)
+        self._refresh(service, now_ms).first_sends.append(now_ms)
 
     def take(self, service: str, gateways: int, now_ms: int) -> bool:
-        """Takes one repeat; returns whether it is allowed.
+        """Takes one retry; returns whether it is allowed.
+
+        A retry is taken from the gateway's own part, or else from a loan.
 
         Args:
-            service: Service that it goes to.
+            service: Service that the retry goes to.
             gateways: Gateways that share the bound; 0 if that is unknown.
             now_ms: Time now.
         """
@@ -79,54 +87,54 @@
         return False
 
     def remaining(self, service: str, gateways: int, now_ms: int) -> float:
-        """Returns how many repeats of its own part are left."""
+        """Returns how many retries of the own part remain."""
         window = self._refresh(service, now_ms)
         return self._allowed(window, gateways) - len(window.repeats)
 
     def lend(
         self, service: str, wanted: int, gateways: int, now_ms: int
     ) -> int:
-        """Gives up repeats for another gateway; returns how many.
+        """Lends retries to another gateway; returns how many.
 
         Args:
-            service: Service that they go to.
-            wanted: How many the other gateway asks for.
+            service: Service that the retries go to.
+            wanted: Number of retries that the other gateway requests.
             gateways: Gateways that share the bound; 0 if that is unknown.
             now_ms: Time now.
         """
-        left = self.remaining(service, gateways, now_ms)
-        lent = min(wanted, int(left * _LENT_SHARE))
+        remaining = self.remaining(service, gateways, now_ms)
+        lent = min(wanted, int(remaining * _MAX_LENT_FRACTION))
         if lent <= 0:
             return 0
-        # The borrower may use them until the loan ends; only then does their
-        # window begin.
+        # The borrower may use the retries until the loan ends, so they count
+        # as used at that time.
         end_ms = now_ms + _LOAN_MS
         self._services[service].repeats.extend([end_ms] * lent)
         return lent
 
-    def borrow(self, service: str, count: int, asked_ms: int) -> None:
-        """Takes what another gateway lends.
+    def borrow(self, service: str, count: int, requested_ms: int) -> None:
+        """Adds retries lent by another gateway.
 
         Args:
-            service: Service that the repeats go to.
-            count: How many.
-            asked_ms: When they were asked for: the lender may count from that
-                moment on.
+            service: Service that the retries go to.
+            count: Number of retries lent.
+            requested_ms: Time at which the loan was requested. The lender may
+                count the term of the loan from then on.
         """
-        end_ms = asked_ms + _LOAN_MS
+        end_ms = requested_ms + _LOAN_MS
         self._services[service].borrowed.extend([end_ms] * count)
 
     def _refresh(self, service: str, now_ms: int) -> _Window:
-        """Returns what counts for a service now."""
+        """Returns the window of a service, without entries that are over."""
         window = self._services[service]
         since_ms = now_ms - self._window_ms
-        while window.firsts and window.firsts[0] <= since_ms:
-            window.firsts.popleft()
+        while window.first_sends and window.first_sends[0] <= since_ms:
+            window.first_sends.popleft()
         window.repeats = [t for t in window.repeats if t > since_ms]
         window.borrowed = [t for t in window.borrowed if t > now_ms]
         return window
 
     def _allowed(self, window: _Window, gateways: int) -> float:
-        sharers = gateways or _UNKNOWN_GATEWAYS
-        own = self._ratio * _RATIO_KEPT * len(window.firsts)
-        return own + self._extra * _EXTRA_KEPT / sharers
+        sharers = gateways or _ASSUMED_GATEWAYS
+        own = self._ratio * _RATIO_FRACTION * len(window.first_sends)
+        return own + self._extra * _EXTRA_FRACTION / sharers
--- a/caroblug/core/limits/tests/test_retry_budget.py
+++ b/caroblug/core/limits/tests/test_retry_budget.py
@@ -6,10 +6,11 @@
 from caroblug.core.limits import RetryBudget, RetryRule
 
 
-def test_account_that_breaks_engines_spends_its_own_budget():
-    """All callers wait while one account's requests are tried over and over.
+def test_account_that_crashes_engines_spends_its_own_budget():
+    """All accounts wait while the requests of one are retried repeatedly.
 
-    Its retries end with its own bucket; another account still has its own.
+    Its retries end when its own bucket is empty; another account still has
+    retries.
     """
     budget = RetryBudget(
         RetryRule(2, share=0.5, per_s=1), RetryRule(10, per_s=1)
@@ -30,11 +31,12 @@
         max_size=120,
     )
 )
-def test_retries_stay_within_their_share(events):
-    """Recovery becomes the overload when most requests fail.
+def test_retries_stay_within_the_budget(events):
+    """Recovery causes an overload when most requests fail.
 
-    Whatever the order, retries never exceed the burst, the share of what
-    succeeded and what time alone has earned, per account and in all.
+    For any order of events, the retries of each account and of all accounts
+    stay within the burst, the share of the requests that succeeded and the
+    retries added over time.
     """
     account = RetryRule(3, share=0.2, per_s=0.5)
     total = RetryRule(5, share=0.2, per_s=1.0)
@@ -47,8 +49,8 @@
             succeeded[name] = succeeded.get(name, 0) + 1
         elif budget.take(name, now_ms) == 0:
             taken[name] = taken.get(name, 0) + 1
-        for who, count in taken.items():
-            earned = 0.2 * succeeded.get(who, 0) + 0.5 * now_ms / 1000
+        for account_name, count in taken.items():
+            earned = 0.2 * succeeded.get(account_name, 0) + 0.5 * now_ms / 1000
             assert count <= 3 + earned + 1e-6
         earned = 0.2 * sum(succeeded.values()) + now_ms / 1000
         assert sum(taken.values()) <= 5 + earned + 1e-6
--- a/caroblug/core/limits/tests/test_windowed_retry_budget.py
+++ b/caroblug/core/limits/tests/test_windowed_retry_budget.py
@@ -1,4 +1,4 @@
-"""Repeats of several gateways stay within one bound."""
+"""Tests that the retries of several gateways stay within one bound."""
 
 import hypothesis
 import hypothesis.strategies as st
@@ -10,52 +10,52 @@
 WINDOW_MS = 10000
 
 
-def make_window():
+def make_budget():
     return WindowedRetryBudget(RATIO, EXTRA, WINDOW_MS)
 
 
 def test_extra_is_divided_among_gateways():
-    window = make_window()
+    budget = make_budget()
 
-    taken = sum(window.take("s", 4, 0) for _ in range(100))
+    taken = sum(budget.take("s", 4, 0) for _ in range(100))
 
     assert taken == 10
 
 
-def test_requests_earn_repeats():
-    window = make_window()
+def test_requests_add_retries():
+    budget = make_budget()
     for _ in range(100):
-        window.on_first_send("s", 0)
+        budget.on_first_send("s", 0)
 
-    assert window.remaining("s", 1000, 0) > 16
+    assert budget.remaining("s", 1000, 0) > 16
 
 
-def test_repeats_come_back_after_the_window():
-    window = make_window()
-    while window.take("s", 4, 0):
+def test_retries_are_available_again_after_the_window():
+    budget = make_budget()
+    while budget.take("s", 4, 0):
         pass
 
-    assert not window.take("s", 4, WINDOW_MS - 1)
-    assert window.take("s", 4, WINDOW_MS)
+    assert not budget.take("s", 4, WINDOW_MS - 1)
+    assert budget.take("s", 4, WINDOW_MS)
 
 
-def test_unknown_number_of_gateways_is_taken_for_many():
-    # Guards against every gateway taking the whole extra after a common start.
-    window = make_window()
+def test_unknown_number_of_gateways_is_assumed_to_be_large():
+    # Guards against each gateway using all extra retries after a common start.
+    budget = make_budget()
 
-    assert not window.take("s", 0, 0)
+    assert not budget.take("s", 0, 0)
 
 
-def test_services_do_not_share():
-    window = make_window()
-    while window.take("s", 1, 0):
+def test_services_have_separate_budgets():
+    budget = make_budget()
+    while budget.take("s", 1, 0):
         pass
 
-    assert window.take("t", 1, 0)
+    assert budget.take("t", 1, 0)
 
 
-def test_lent_repeats_are_the_borrower_s_and_no_longer_the_lender_s():
-    lender, borrower = make_window(), make_window()
+def test_loan_moves_retries_from_lender_to_borrower():
+    lender, borrower = make_budget(), make_budget()
     while borrower.take("s", 10, 0):
         pass
 
@@ -71,9 +71,9 @@
     assert lender.remaining("s", 10, WINDOW_MS) == 2
 
 
-def test_loan_that_was_not_used_in_time_is_over():
-    # Guards against two uses of one loan, by the lender and by the borrower.
-    lender, borrower = make_window(), make_window()
+def test_unused_loan_expires():
+    # Guards against a loan that both the lender and the borrower use.
+    lender, borrower = make_budget(), make_budget()
     while borrower.take("s", 10, 0):
         pass
     borrower.borrow("s", lender.lend("s", 1, 10, 0), 0)
@@ -93,21 +93,23 @@
 
 @hypothesis.given(steps)
 def test_no_window_of_four_gateways_exceeds_the_bound(steps):
-    windows = [make_window() for _ in range(4)]
-    firsts, repeats = [], []
+    budgets = [make_budget() for _ in range(4)]
+    firsts, retries = [], []
     now_ms = 0
     for gateway, step, pause_ms in steps:
         now_ms += pause_ms
         if step == "first":
-            windows[gateway].on_first_send("s", now_ms)
+            budgets[gateway].on_first_send("s", now_ms)
             firsts.append(now_ms)
         elif step == "borrow":
-            lent = windows[gateway - 1].lend("s", 4, 4, now_ms)
-            windows[gateway].borrow("s", lent, now_ms)
-        elif windows[gateway].take("s", 4, now_ms):
-            repeats.append(now_ms)
+            lent = budgets[gateway - 1].lend("s", 4, 4, now_ms)
+            budgets[gateway].borrow("s", lent, now_ms)
+        elif budgets[gateway].take("s", 4, now_ms):
+            retries.append(now_ms)
 
-    for end_ms in repeats:
+    for end_ms in retries:
         begin_ms = end_ms - WINDOW_MS
-        most = RATIO * sum(begin_ms - WINDOW_MS < t <= end_ms for t in firsts)
-        assert sum(begin_ms < t <= end_ms for t in repeats) <= most + EXTRA
+        allowed = RATIO * sum(
+            begin_ms - WINDOW_MS < t <= end_ms for t in firsts
+        )
+        assert sum(begin_ms < t <= end_ms for t in retries) <= allowed + EXTRA
