--- a/caroblug/core/limits/_shares.py
+++ b/caroblug/core/limits/_shares.py
@@ -1,9 +1,9 @@
-"""Shares of a client account among entries, for a short term.
+"""Division of an account's limits among entries by short-lived grants.
 
-Each account's home adds up what the entries report and hands back a grant:
-streams that may be open, tokens that may be used, and how many streams the
-account has in all. Grants of one home never add up to more than the account
-is allowed.
+Each entry reports its demand for a client account to the account's home
+entry, which answers with a grant: the number of streams that may be open, the
+tokens that may be used, and the number of streams of the account at all
+entries. The grants of one home never add up to more than the account's limit.
 
 References:
     Doorman (Google, 2016): cooperative limits by leased capacity.
@@ -12,17 +12,17 @@
 import attrs
 
 _MS_PER_MINUTE = 60_000
-_HEADROOM_PARTS = 8
-_MOST_HALVINGS = 64
+_HEADROOM_DIVISOR = 8
+_MAX_HALVINGS = 64
 
 
 @attrs.frozen
 class AccountRule:
-    """What an account may use over all entries.
+    """Limits of a client account over all entries.
 
     Attributes:
-        streams: Streams open at once.
-        tokens_per_minute: Weighted tokens a minute.
+        streams: Maximum number of open streams.
+        tokens_per_minute: Maximum number of weighted tokens per minute.
     """
 
     streams: int
@@ -31,11 +31,11 @@
 
 @attrs.frozen
 class Demand:
-    """What one entry reports of an account.
+    """Demand for an account that one entry reports to the home.
 
     Attributes:
-        streams: Streams open there, and refused for want of a grant.
-        used: Weighted tokens used since the report before.
+        streams: Number of streams that are open or were refused by the grant.
+        used: Weighted tokens used since the previous report.
     """
 
     streams: int
@@ -44,13 +44,13 @@
 
 @attrs.frozen
 class Grant:
-    """What one entry may use of an account until the term ends.
+    """Part of an account's limits that one entry may use for a term.
 
     Attributes:
-        streams: Streams open at once.
-        tokens: Weighted tokens that may be started.
-        total: Streams that the account has at all entries.
-        term_ms: How long it holds.
+        streams: Maximum number of open streams at the entry.
+        tokens: Weighted tokens that the entry may use.
+        total: Number of streams of the account at all entries.
+        term_ms: How long the grant is valid.
     """
 
     streams: int
@@ -60,7 +60,7 @@
 
 
 @attrs.define
-class _Granted:
+class _EntryGrant:
     wanted: int
     streams: int
     tokens: float
@@ -71,17 +71,17 @@
 class _Account:
     level: float
     filled_ms: int
-    entries: dict[str, _Granted] = attrs.field(factory=dict)
+    entries: dict[str, _EntryGrant] = attrs.field(factory=dict)
 
 
 class HomeShares:
-    """The accounts whose home this entry is.
+    """Grants shares of the accounts whose home is this entry.
 
-    State is one record for each account with a grant that holds, or with a
-    minute's use that is not yet forgotten.
+    The state is one record for each account that has a valid grant or has
+    used tokens within the last minute.
 
     Args:
-        term_ms: How long a grant holds.
+        term_ms: How long a grant is valid.
     """
 
     def __init__(self, term_ms: int) -> None:
@@ -101,15 +101,19 @@
         *,
         idle_ms: int = _MS_PER_MINUTE,
     ) -> Grant:
-        """Takes an entry's report and returns its next grant.
+        """Records the demand of an entry and returns its next grant.
 
         Args:
-            entry: The entry.
-            client_account: The account.
-            demand: What the entry reports.
-            rule: What the account may use in all.
-            now_ms: Time now.
-            idle_ms: How long an account not heard of was surely idle.
+            entry: Name of the entry.
+            client_account: Name of the account.
+            demand: Demand that the entry reports.
+            rule: Limits of the account.
+            now_ms: Current time.
+            idle_ms: How long an account without a record is known to have
+                been idle, which decides its first token level.
+
+        Returns:
+            The grant for the entry.
         """
         account = self._accounts.get(client_account)
         if account is None:
@@ -118,21 +122,21 @@
         _refill(account, rule, now_ms)
         account.entries.pop(entry, None)
         account.level -= demand.used
-        _expire(account, now_ms)
+        _expire_grants(account, now_ms)
         others = list(account.entries.values())
         total = demand.streams + sum(other.wanted for other in others)
-        streams = _streams_for(demand.streams, total, others, rule)
-        tokens = _tokens_for(demand.streams, total, others, account.level)
+        streams = _streams_to_grant(demand.streams, total, others, rule)
+        tokens = _tokens_to_grant(demand.streams, total, others, account.level)
         if demand.streams:
-            account.entries[entry] = _Granted(
+            account.entries[entry] = _EntryGrant(
                 demand.streams, streams, tokens, now_ms + self.term_ms
             )
         return Grant(streams, tokens, total, self.term_ms)
 
     def forget_idle(self, now_ms: int) -> None:
-        """Drops accounts that would begin again as they are."""
+        """Drops accounts whose record equals a new one."""
         for name, account in list(self._accounts.items()):
-            _expire(account, now_ms)
+            _expire_grants(account, now_ms)
             idle_ms = now_ms - account.filled_ms
             if not account.entries and idle_ms >= _MS_PER_MINUTE:
                 del self._accounts[name]
@@ -145,11 +149,11 @@
     account.filled_ms = now_ms
 
 
-def _expire(account: _Account, now_ms: int) -> None:
-    """Ends grants whose term is over, taking their tokens as used.
+def _expire_grants(account: _Account, now_ms: int) -> None:
+    """Removes grants past their term and counts their tokens as used.
 
-    Guards against an entry that was cut off and used what it held: without
-    its report the tokens would be handed out once more.
+    Guards against an entry that was cut off and has used its grant: without
+    its report the same tokens would be granted again.
     """
     for entry, granted in list(account.entries.items()):
         if now_ms >= granted.end_ms:
@@ -157,32 +161,33 @@
             del account.entries[entry]
 
 
-def _streams_for(
-    wanted: int, total: int, others: list[_Granted], rule: AccountRule
+def _streams_to_grant(
+    wanted: int, total: int, others: list[_EntryGrant], rule: AccountRule
 ) -> int:
-    """Returns the streams to grant.
+    """Returns the number of streams to grant.
 
-    An entry gets what it wants and a part of what is left, so that another
-    one that comes next finds something; when all want more than is allowed,
-    its part by demand. Never more than the others' grants leave: a grant
-    once given can't be called back before its term ends.
+    An entry gets its demand and a fraction of the remaining streams, which
+    leaves some for the next entry. When the total demand exceeds the limit,
+    the entry gets a part in proportion to its demand. The result never
+    exceeds what the other grants leave, because a grant can't be revoked
+    before its term ends.
     """
     if not wanted:
         return 0
     left = rule.streams - sum(other.streams for other in others)
-    part = wanted + (left - wanted) // _HEADROOM_PARTS
+    part = wanted + (left - wanted) // _HEADROOM_DIVISOR
     if total > rule.streams:
         part = max(1, rule.streams * wanted // total)
     return max(0, min(part, left))
 
 
-def _tokens_for(
-    wanted: int, total: int, others: list[_Granted], level: float
+def _tokens_to_grant(
+    wanted: int, total: int, others: list[_EntryGrant], level: float
 ) -> float:
-    """Returns the tokens to grant: a part by demand of what is left.
+    """Returns the tokens to grant, in proportion to the demand.
 
-    Half of what is left stays for another entry that comes next: with
-    nothing left its first request would be refused.
+    At most half of the remaining tokens are granted: with none left, the
+    first request at another entry would be refused.
     """
     if not wanted:
         return 0.0
@@ -191,9 +196,9 @@
 
 
 @attrs.define
-class _Held:
+class _HeldGrant:
     grant: Grant
-    got_ms: int
+    granted_ms: int
     tokens: float
     filled_ms: int
     open: int = 0
@@ -204,34 +209,35 @@
 
 
 class EntryShares:
-    """The grants that one entry holds.
+    """Applies the grants that one entry has received.
 
-    Without an answer from the home a grant decays: it halves with each term
-    and ends at the entry's equal part, `1 / entries`, or where it was if that
-    is less. So the entries together never have more than what the homes gave
-    plus what is allowed once: twice the account's rule with one home, and
-    once more for each further home at the same time.
+    Without an answer from the home, a grant decays after its term: it halves
+    with each further term down to the entry's equal part of the limit,
+    `1 / entries`, unless it was smaller from the start. The entries
+    together therefore never use more than what the homes have granted plus
+    the account's limit once: twice the limit with one home, and once more
+    for each additional home at the same time.
 
     Args:
-        term_ms: How long a grant holds.
+        term_ms: How long a grant is valid.
     """
 
     def __init__(self, term_ms: int) -> None:
         self.term_ms = term_ms
-        self._held: dict[str, _Held] = {}
+        self._held: dict[str, _HeldGrant] = {}
         self._entries = 1
 
     def __len__(self) -> int:
         return len(self._held)
 
     def on_listed(self, entries: int) -> None:
-        """Takes the number of entries listed, this one included."""
+        """Sets the number of listed entries, this one included."""
         self._entries = max(1, entries)
 
     def touch(
         self, client_account: str, rule: AccountRule, now_ms: int
     ) -> None:
-        """Makes a record of an account that is used here now."""
+        """Starts a record at the equal part for an account without one."""
         if client_account in self._held:
             return
         grant = Grant(
@@ -240,7 +246,7 @@
             1,
             self.term_ms,
         )
-        self._held[client_account] = _Held(
+        self._held[client_account] = _HeldGrant(
             grant,
             now_ms - self.term_ms,
             grant.tokens,
@@ -249,15 +255,16 @@
         )
 
     def has_grant(self, client_account: str, now_ms: int) -> bool:
-        """Tells whether the account has a grant in its term."""
+        """Returns whether the account has a grant within its term."""
         held = self._held.get(client_account)
         return held is not None and _in_term(held, now_ms)
 
     def on_grant(self, client_account: str, grant: Grant, now_ms: int) -> None:
-        """Takes a grant from the account's home.
+        """Applies a grant from the account's home.
 
-        Guards against an account that was idle when its home was lost: the
-        last grant was for nothing, and would refuse all that comes.
+        Guards against an account that was idle when its home was lost: its
+        last grant was empty and would refuse every request, so the record is
+        dropped instead.
         """
         held = self._held.get(client_account)
         if held is None:
@@ -266,42 +273,42 @@
             del self._held[client_account]
             return
         held.grant = grant
-        held.got_ms = now_ms
+        held.granted_ms = now_ms
         held.filled_ms = now_ms
         held.tokens = grant.tokens - held.used
 
     def allowed_streams(
         self, client_account: str, rule: AccountRule, now_ms: int
     ) -> int:
-        """Returns how many streams may be open here."""
+        """Returns how many streams may be open at this entry."""
         held = self._held[client_account]
         if _in_term(held, now_ms):
             return held.grant.streams
         equal = max(1, rule.streams // self._entries)
-        decayed = int(held.grant.streams * _decay(held, now_ms))
+        decayed = int(held.grant.streams * _decay_factor(held, now_ms))
         return max(decayed, min(held.grant.streams, equal))
 
     def stream_weight(
         self, client_account: str, weight: float, now_ms: int
     ) -> float:
-        """Returns the weight of one stream: the account's over all streams.
+        """Returns the fair-queueing weight of one stream of an account.
 
-        The account's streams at all entries share its weight, so that they
-        get no more over many entries than over one.
+        The streams of the account at all entries divide its weight, so that
+        the account gains nothing by spreading over many entries.
         """
         held = self._held[client_account]
-        part = max(_decay(held, now_ms), 1 / self._entries)
+        part = max(_decay_factor(held, now_ms), 1 / self._entries)
         return weight * part / max(1, held.grant.total, held.open)
 
     def total_streams(self, client_account: str) -> int:
-        """Returns the account's streams at all entries, as last heard."""
+        """Returns the last known number of streams at all entries."""
         held = self._held.get(client_account)
         return max(held.grant.total, held.open) if held else 0
 
     def open_stream(
         self, client_account: str, rule: AccountRule, now_ms: int
     ) -> bool:
-        """Opens a stream if there is a place; notes a refusal if not."""
+        """Opens a stream if the grant allows it, else counts a refusal."""
         held = self._held[client_account]
         if held.open >= self.allowed_streams(client_account, rule, now_ms):
             held.refused += 1
@@ -314,7 +321,9 @@
         held = self._held[client_account]
         held.open -= 1
         if held.open < 0:
-            raise AssertionError(f"{client_account} has fewer than 0 streams")
+            raise AssertionError(
+                f"{client_account} has fewer than 0 open streams"
+            )
 
     def spend(
         self,
@@ -323,10 +332,11 @@
         tokens: float,
         now_ms: int,
     ) -> bool:
-        """Uses weighted tokens if there are any left.
+        """Uses weighted tokens; returns False if none remain.
 
-        The last request may overdraw; the home takes that off the next
-        grant. Without a home the entry's equal part is refilled.
+        The last request may overdraw the grant; the home deducts that from
+        the next one. Without a valid grant, the entry's equal part of the
+        limit is refilled instead.
         """
         held = self._held[client_account]
         if not _in_term(held, now_ms):
@@ -338,7 +348,7 @@
         return True
 
     def refund(self, client_account: str, tokens: float) -> None:
-        """Gives back tokens that were not used after all."""
+        """Returns tokens that a request has not used to the account."""
         held = self._held[client_account]
         held.tokens += tokens
         held.used -= tokens
@@ -346,12 +356,12 @@
     def report(
         self, client_account: str, now_ms: int, wanted: int = 0
     ) -> Demand:
-        """Returns what to report to the account's home now.
+        """Returns the demand to report to the home and resets the counts.
 
         Args:
-            client_account: The account.
-            now_ms: Time now.
-            wanted: Streams about to be opened.
+            client_account: Name of the account.
+            now_ms: Current time.
+            wanted: Number of streams about to be opened.
         """
         held = self._held[client_account]
         demand = Demand(held.open + held.refused + wanted, held.used)
@@ -362,7 +372,7 @@
         return demand
 
     def due_accounts(self, interval_ms: int, now_ms: int) -> list[str]:
-        """Returns the accounts to report, and forgets idle ones.
+        """Returns the accounts to report and drops records of idle ones.
 
         An account that has become idle is reported once more, so that its
         home can grant its part to other entries before the term ends.
@@ -373,11 +383,11 @@
                 continue
             if held.open or held.refused or held.used or held.reported:
                 due.append(name)
-            elif now_ms - held.got_ms >= 2 * self.term_ms:
+            elif now_ms - held.granted_ms >= 2 * self.term_ms:
                 del self._held[name]
         return due
 
-    def _refill(self, held: _Held, rule: AccountRule, now_ms: int) -> None:
+    def _refill(self, held: _HeldGrant, rule: AccountRule, now_ms: int) -> None:
         part = rule.tokens_per_minute / self._entries
         elapsed_ms = now_ms - held.filled_ms
         level = held.tokens + part * elapsed_ms / _MS_PER_MINUTE
@@ -385,11 +395,11 @@
         held.filled_ms = now_ms
 
 
-def _in_term(held: _Held, now_ms: int) -> bool:
-    return now_ms - held.got_ms < held.grant.term_ms
+def _in_term(held: _HeldGrant, now_ms: int) -> bool:
+    return now_ms - held.granted_ms < held.grant.term_ms
 
 
-def _decay(held: _Held, now_ms: int) -> float:
-    """Returns 1 within the term, then a half less for each term."""
-    terms = (now_ms - held.got_ms) // held.grant.term_ms
-    return 0.5 ** min(terms, _MOST_HALVINGS)
+def _decay_factor(held: _HeldGrant, now_ms: int) -> float:
+    """Returns 1 within the term, then half as much after each term."""
+    terms = (now_ms - held.granted_ms) // held.grant.term_ms
+    return 0.5 ** min(terms, _MAX_HALVINGS)
--- a/caroblug/core/limits/tests/test_shares.py
+++ b/caroblug/core/limits/tests/test_shares.py
@@ -1,4 +1,4 @@
-"""What entries may use of an account, with and without its home."""
+"""Tests of account limits divided among entries, with and without a home."""
 
 import random
 
@@ -24,11 +24,11 @@
 
 
 class SharesMachine(RuleBasedStateMachine):
-    """Three entries, two homes at once, and messages that are lost.
+    """Model of three entries, two homes at once and lost messages.
 
-    A heavy account gets more than its streams by spreading over entries: one
-    entry is cut off from the home and keeps what it had, another takes a
-    second home for the right one, and each home knows only a part.
+    A heavy account exceeds its limit by spreading over entries: one entry is
+    cut off from the home and keeps its grant, another reports to a second
+    home, and each home knows only a part of the demand.
     """
 
     def __init__(self):
@@ -116,7 +116,7 @@
 
 @given(st.lists(st.integers(0, 8), min_size=2, max_size=8))
 def test_many_entries_weigh_no_more_than_one(streams):
-    """A heavy account is served more because it comes by every entry."""
+    """A heavy account gets more service by sending through every entry."""
     home = HomeShares(_TERM_MS)
     entries = {}
     now_ms = 0
@@ -140,8 +140,8 @@
     assert sum(opened.values()) == 0 or total > 0
 
 
-def test_lone_entry_gets_everything():
-    """Spare capacity is held back although nobody else asks for it."""
+def test_only_entry_gets_the_whole_limit():
+    """Streams stay unused although no other entry needs them."""
     home = HomeShares(_TERM_MS)
     shares = EntryShares(_TERM_MS)
     shares.on_listed(8)
@@ -154,11 +154,11 @@
     assert taken == _RULE.streams
 
 
-def test_entry_that_comes_late_still_finds_something():
+def test_late_entry_still_gets_a_grant():
     """A light account's first request at another entry is refused.
 
-    The first entry was granted all that the account may use, although it
-    has only one small request.
+    The first entry was granted the account's whole limit, although it has
+    only one small request.
     """
     home = HomeShares(_TERM_MS)
     for number in range(8):
@@ -170,10 +170,10 @@
 
 
 def test_idle_account_is_served_after_its_home_is_lost():
-    """An account that paused is refused everywhere once its home has died.
+    """An account that paused is refused at every entry after its home died.
 
-    Its last report was that it had nothing open; the grant for that was
-    nothing, and no other one can come.
+    Its last report had no open streams, the grant for that was empty, and no
+    other grant can arrive.
     """
     home = HomeShares(_TERM_MS)
     shares = EntryShares(_TERM_MS)
@@ -202,11 +202,11 @@
     assert allowed == [24, 12, 6, 6, 6, 6]
 
 
-def test_new_home_does_not_hand_out_a_used_up_minute_again():
-    """A heavy account starts over with each home that dies.
+def test_new_home_does_not_grant_a_used_minute_again():
+    """A heavy account gets a full minute of tokens from each new home.
 
-    The dead home's count of used tokens is gone; its successor has not heard
-    of the account and must not take it for an idle one.
+    The dead home's count of used tokens is lost; its successor has no record
+    of the account and must not assume that it was idle.
     """
     homes = HomeEntries("entry-a", settled_ms=60_000)
     names = [f"entry-{c}" for c in "abcdef"]
@@ -237,7 +237,7 @@
     assert homes.home_age_ms(account, 141_000) == 60_000
 
 
-def test_only_the_accounts_of_a_lost_entry_move():
+def test_only_the_accounts_of_a_lost_entry_change_home():
     names = [f"entry-{n}" for n in range(20)]
     before, after = HomeEntries("entry-0", 1), HomeEntries("entry-0", 1)
     before.on_listed(names, 0)
@@ -248,7 +248,7 @@
             assert after.home_of(account) == before.home_of(account)
 
 
-def test_state_is_forgotten_with_use():
+def test_records_of_idle_accounts_are_dropped():
     source = random.Random(1)
     home = HomeShares(_TERM_MS)
     shares = EntryShares(_TERM_MS)
@@ -270,7 +270,7 @@
 
 
 def _spend_all(home, names, now_ms, *, report):
-    """Lets each entry use its whole grant; returns the tokens granted."""
+    """Lets each entry use its whole grant; returns all tokens granted."""
     granted = 0.0
     for name in names:
         demand = Demand(1, 0.0)
@@ -284,7 +284,7 @@
 
 @given(st.integers(1, 30), st.booleans())
 def test_one_minute_of_tokens_is_granted_once(entries, report):
-    """An account asks by one entry after the other and uses all it gets."""
+    """An account exceeds its tokens by using one entry after the other."""
     home = HomeShares(_TERM_MS)
     names = [f"entry-{number}" for number in range(entries)]
     granted = _spend_all(home, names, 0, report=report)
@@ -292,7 +292,7 @@
 
 
 def test_tokens_of_an_entry_that_was_cut_off_count_as_used():
-    """The tokens of a lost entry are handed out again while it uses them."""
+    """The tokens of a lost entry are granted again while it uses them."""
     home = HomeShares(_TERM_MS)
     names = ["entry-a", "entry-b"]
     first = home.on_demand("entry-a", _ACCOUNT, Demand(1, 0.0), _RULE, 0)
