--- a/caroblug/core/limits/_suspicions.py
+++ b/caroblug/core/limits/_suspicions.py
@@ -1,9 +1,9 @@
-"""Requests that may be what crashes engines.
+"""Suspicion and quarantine of requests that may crash engines.
 
 A request that was in an engine when it crashed is suspected of that crash
-until it has run on past the place where it was; one that is suspected of two
-crashes is quarantined. Records are sets of crash names, so that instances can
-tell each other in any order and as often as they like.
+until it has run past the position where it was. A request suspected of
+several crashes, two by default, is quarantined. The records are sets of crash
+names, so that instances can exchange them in any order and repeatedly.
 """
 
 import collections
@@ -17,7 +17,7 @@
 
 
 class Verdict(enum.IntEnum):
-    """What is known against a request."""
+    """Degree of suspicion against a request."""
 
     CLEAR = 0
     SUSPECT = 1
@@ -26,16 +26,16 @@
 
 @attrs.frozen
 class Suspicion:
-    """One request and one crash.
+    """Suspicion that one request has caused one crash.
 
     Attributes:
-        fingerprint: The request: client account, service and body.
-        client_account: Whose request it is.
+        fingerprint: Hash of the request: client account, service and body.
+        client_account: Account that has sent the request.
         crash: Name of the crash, unique in the fleet.
         position: One past the last position that was in the engine; 0 for
             a call of a plain service.
-        cleared: Whether the request has since run on past that position.
-        remaining_ms: After this it is forgotten.
+        cleared: Whether the request has since run past that position.
+        remaining_ms: Time after which the suspicion expires.
     """
 
     fingerprint: str
@@ -64,10 +64,13 @@
 
 
 class Suspicions:
-    """What one instance knows of crashes; bounded, oldest forgotten first.
+    """Suspicions known to one instance, a bounded number of requests.
+
+    When the bound is reached, the record that was added first is dropped.
 
     Args:
-        quarantine_crashes: Crashes after which a request is quarantined.
+        quarantine_crashes: Number of crashes at which a request is
+            quarantined.
     """
 
     def __init__(self, quarantine_crashes: int = QUARANTINE_CRASHES) -> None:
@@ -80,13 +83,13 @@
         return len(self._records)
 
     def on_suspicion(self, suspicion: Suspicion, now_ms: int) -> bool:
-        """Takes a suspicion; returns whether it was news."""
+        """Records a suspicion and returns whether it changed the record."""
         end_ms = now_ms + suspicion.remaining_ms
         if suspicion.remaining_ms <= 0:
             return False
-        record = self._live(suspicion.fingerprint, now_ms)
+        record = self._live_record(suspicion.fingerprint, now_ms)
         if record is None:
-            record = self._make(suspicion, end_ms)
+            record = self._add_record(suspicion, end_ms)
         known = record.crashes.get(suspicion.crash)
         if known is None and len(record.crashes) >= _MAX_CRASHES:
             return False
@@ -99,8 +102,8 @@
         return True
 
     def verdict(self, fingerprint: str, now_ms: int) -> Verdict:
-        """Returns what is known against a request."""
-        record = self._live(fingerprint, now_ms)
+        """Returns the degree of suspicion against a request."""
+        record = self._live_record(fingerprint, now_ms)
         if record is None:
             return Verdict.CLEAR
         if record.uncleared >= self._quarantine_crashes:
@@ -108,13 +111,13 @@
         return Verdict.SUSPECT if record.uncleared else Verdict.CLEAR
 
     def remaining_ms(self, fingerprint: str, now_ms: int) -> int:
-        """Returns when a request is forgotten; 0 if nothing is known."""
-        record = self._live(fingerprint, now_ms)
+        """Returns the time until a record expires; 0 if there is none."""
+        record = self._live_record(fingerprint, now_ms)
         return record.end_ms - now_ms if record else 0
 
     def isolate_until(self, fingerprint: str, now_ms: int) -> int:
-        """Returns the position up to which a request is to run alone."""
-        record = self._live(fingerprint, now_ms)
+        """Returns the position up to which a request is to run isolated."""
+        record = self._live_record(fingerprint, now_ms)
         if record is None:
             return 0
         crashes = record.crashes.values()
@@ -123,19 +126,20 @@
     def clear(
         self, fingerprint: str, length: int, now_ms: int
     ) -> list[Suspicion]:
-        """Clears crashes that a request has run on past.
+        """Clears suspicions whose position a request has run past.
 
         The token that follows the last position in the engine can't have
-        been sampled before the crash, so that having it proves that every
-        stage has run that position since. A quarantined request stays so.
+        been sampled before the crash, so its presence proves that every
+        stage has run that position since. A quarantined request is never
+        cleared.
 
         Args:
-            fingerprint: The request.
-            length: Its tokens, prompt included.
-            now_ms: Time now.
+            fingerprint: Fingerprint of the request.
+            length: Number of tokens of the request, prompt included.
+            now_ms: Current time.
 
         Returns:
-            What to tell others.
+            The cleared suspicions, to be sent to other instances.
         """
         if self.verdict(fingerprint, now_ms) is not Verdict.SUSPECT:
             return []
@@ -148,8 +152,8 @@
         return [s for s in known if s.crash in cleared]
 
     def for_request(self, fingerprint: str, now_ms: int) -> list[Suspicion]:
-        """Returns everything known of one request."""
-        record = self._live(fingerprint, now_ms)
+        """Returns all suspicions against one request, cleared ones included."""
+        record = self._live_record(fingerprint, now_ms)
         if record is None:
             return []
         return [
@@ -165,7 +169,7 @@
         ]
 
     def quarantined(self, now_ms: int) -> list[Suspicion]:
-        """Returns everything known of quarantined requests."""
+        """Returns all suspicions against quarantined requests."""
         return [
             suspicion
             for fingerprint in list(self._records)
@@ -174,7 +178,7 @@
         ]
 
     def all_live(self, now_ms: int) -> list[Suspicion]:
-        """Returns everything known against any request."""
+        """Returns all suspicions that have not expired."""
         return [
             suspicion
             for fingerprint in list(self._records)
@@ -182,20 +186,20 @@
         ]
 
     def count_quarantined(self, now_ms: int) -> int:
-        """Returns how many requests are quarantined."""
+        """Returns the number of quarantined requests."""
         return sum(
             self.verdict(fingerprint, now_ms) is Verdict.QUARANTINED
             for fingerprint in list(self._records)
         )
 
-    def _live(self, fingerprint: str, now_ms: int) -> _Record | None:
+    def _live_record(self, fingerprint: str, now_ms: int) -> _Record | None:
         record = self._records.get(fingerprint)
         if record is not None and now_ms >= record.end_ms:
             del self._records[fingerprint]
             return None
         return record
 
-    def _make(self, suspicion: Suspicion, end_ms: int) -> _Record:
+    def _add_record(self, suspicion: Suspicion, end_ms: int) -> _Record:
         if len(self._records) >= _MAX_RECORDS:
             self._records.popitem(last=False)
         record = _Record(suspicion.client_account, end_ms)
--- a/caroblug/core/limits/tests/test_suspicions.py
+++ b/caroblug/core/limits/tests/test_suspicions.py
@@ -1,4 +1,4 @@
-"""Crashes that one request may cause, over any order of its resends."""
+"""Tests that one request causes few crashes, however it is resent."""
 
 from hypothesis import settings
 from hypothesis import strategies as st
@@ -13,17 +13,17 @@
 )
 
 _ENTRIES = ("entry-a", "entry-b", "entry-c")
-_KEEP_MS = 600_000
+_EXPIRE_MS = 600_000
 _TERM_MS = 60_000
 _BAD, _GOOD = "bad", "good"
 
 
 class PoisonMachine(RuleBasedStateMachine):
-    """One caller sends one bad request by every entry, again and again.
+    """Model of a caller that resends one bad request through every entry.
 
-    Each engine that runs it crashes, with a companion in the same batch. The
-    account's home lets one copy run at a time and hands on what is known; an
-    entry may die with the news of one crash.
+    Each engine that runs it crashes, along with another request in the same
+    batch. The account's home lets one copy run at a time and passes on the
+    suspicions; an entry may die before it has reported one crash.
     """
 
     def __init__(self):
@@ -34,10 +34,10 @@
         self.running = {}
         self.numbers = 0
         self.crashes = 0
-        self.unheard = 0
+        self.unreported = 0
         self.waiting = []
 
-    def _hear(self, name, suspicion):
+    def _record(self, name, suspicion):
         self.known[name].on_suspicion(suspicion, self.now_ms)
 
     def _admit(self, fingerprint, ticket):
@@ -47,7 +47,7 @@
         for suspicion in self.known["home"].for_request(
             fingerprint, self.now_ms
         ):
-            self._hear(ticket.entry, suspicion)
+            self._record(ticket.entry, suspicion)
         verdict = self.known[ticket.entry].verdict(fingerprint, self.now_ms)
         if verdict is Verdict.QUARANTINED:
             self._leave(fingerprint, ticket)
@@ -70,28 +70,28 @@
         else:
             self.waiting.append(ticket)
 
-    @rule(heard=st.booleans(), companion=st.booleans())
-    def run(self, heard, companion):
+    @rule(reported=st.booleans(), companion=st.booleans())
+    def run(self, reported, companion):
         tickets = [t for t, f in self.running.items() if f == _BAD]
         if not tickets:
             return
         ticket = tickets[0]
-        alone = self.known[ticket.entry].verdict(_BAD, self.now_ms)
+        verdict = self.known[ticket.entry].verdict(_BAD, self.now_ms)
         self.crashes += 1
         crash = f"crash-{self.crashes}"
-        if not heard and self.unheard == 0:
-            self.unheard += 1
+        if not reported and self.unreported == 0:
+            self.unreported += 1
             self._leave(_BAD, ticket)
             return
         suspects = [_BAD]
-        if companion and alone is Verdict.CLEAR:
+        if companion and verdict is Verdict.CLEAR:
             suspects.append(_GOOD)
         for fingerprint in suspects:
             suspicion = Suspicion(
-                fingerprint, "school-1", crash, 5, False, _KEEP_MS
+                fingerprint, "school-1", crash, 5, False, _EXPIRE_MS
             )
             for name in (ticket.entry, "home"):
-                self._hear(name, suspicion)
+                self._record(name, suspicion)
         self._retry(ticket)
         self._answer_companion()
 
@@ -125,11 +125,11 @@
 TestPoison.settings = settings(max_examples=200, stateful_step_count=40)
 
 
-def _suspicion(crash, cleared=False, keep_ms=1000):
-    return Suspicion("f", "school-1", crash, 5, cleared, keep_ms)
+def _suspicion(crash, cleared=False, expire_ms=1000):
+    return Suspicion("f", "school-1", crash, 5, cleared, expire_ms)
 
 
-def test_same_crash_counts_once_from_wherever_it_is_heard():
+def test_crash_reported_several_times_counts_once():
     known = Suspicions()
     assert known.on_suspicion(_suspicion("one"), 0)
     assert not known.on_suspicion(_suspicion("one"), 0)
@@ -138,14 +138,14 @@
     assert known.verdict("f", 0) is Verdict.QUARANTINED
 
 
-def test_cleared_crash_stays_cleared_when_its_news_arrives_late():
-    """An innocent companion is refused because old news comes round again."""
+def test_cleared_suspicion_stays_cleared_after_a_late_report():
+    """A harmless request is refused because an old suspicion arrives again."""
     known = Suspicions()
     known.on_suspicion(_suspicion("one"), 0)
     assert known.isolate_until("f", 0) == 5
     assert known.clear("f", 5, 0) == []
-    told = known.clear("f", 6, 0)
-    assert [s.cleared for s in told] == [True]
+    cleared = known.clear("f", 6, 0)
+    assert [s.cleared for s in cleared] == [True]
     assert not known.on_suspicion(_suspicion("one"), 0)
     known.on_suspicion(_suspicion("two"), 0)
     assert known.verdict("f", 0) is Verdict.SUSPECT
@@ -170,7 +170,7 @@
     assert len(known) <= 4096
 
 
-def test_place_of_a_dead_entry_goes_to_the_next():
+def test_next_request_runs_after_the_entry_of_the_running_one_died():
     gate = RunGate(_TERM_MS)
     first, second = Ticket("entry-a", 1), Ticket("entry-b", 1)
     assert gate.enter("f", first, 0)
@@ -180,7 +180,7 @@
     assert len(gate) == 0
 
 
-def test_proved_requests_run_at_once_until_a_crash_casts_doubt():
+def test_proved_requests_run_at_once_until_a_crash():
     gate = RunGate(_TERM_MS)
     tickets = [Ticket("entry-a", number) for number in range(4)]
     entered = [gate.enter("f", ticket, 0) for ticket in tickets]
