--- a/caroblug/core/recovery/__init__.py
+++ b/caroblug/core/recovery/__init__.py
@@ -1,4 +1,4 @@
-"""Attempts, positions, resuming and reassembly of streams."""
+"""Recovery of streams: attempts, resending, journals and reassembly."""
 
 from caroblug.core.recovery._delivery import Delivery
 from caroblug.core.recovery._effects import (
@@ -10,7 +10,7 @@
     SendStates,
     SendToken,
 )
-from caroblug.core.recovery._release import EntryStream
+from caroblug.core.recovery._entry_stream import EntryStream
 from caroblug.core.recovery._stage import (
     DEFAULT_JOURNAL_POSITIONS,
     StageFailure,
--- a/caroblug/core/recovery/_effects.py
+++ b/caroblug/core/recovery/_effects.py
@@ -1,4 +1,4 @@
-"""What a stage of a stream asks its side process to do."""
+"""Actions that the state machine of a stage returns to its side process."""
 
 import attrs
 
@@ -8,9 +8,9 @@
     """Open the stream at the next stage.
 
     Attributes:
-        known_length: Tokens that are settled, prompt included: the entry or
-            the first stage has them.
-        sends_from: First position that this stage sends of its own accord.
+        known_length: Number of settled tokens, prompt included: those that
+            the entry or the first stage has.
+        sends_from: First position that this stage sends without a request.
     """
 
     known_length: int
@@ -22,7 +22,7 @@
     """Run consecutive positions on the engine.
 
     Attributes:
-        attempt: Attempt that asked for it.
+        attempt: Number of the attempt that the inputs belong to.
         position: First position.
         inputs: One input per position: tokens at the first stage, hidden
             states at the others.
@@ -48,7 +48,7 @@
 
 @attrs.frozen
 class SendNeed:
-    """Ask the previous stage to send again from `position`."""
+    """Request the hidden states from `position` on from the previous stage."""
 
     position: int
 
@@ -58,9 +58,9 @@
     """Send a sampled token to the entry and to the first stage.
 
     Attributes:
-        position: Place of the token in the sequence, prompt included.
+        position: Index of the token in the sequence, prompt included.
         token: The token.
-        to_first_stage: Whether the first stage is to get it too.
+        to_first_stage: Whether the token is sent to the first stage too.
     """
 
     position: int
@@ -70,11 +70,11 @@
 
 @attrs.frozen
 class FailStream:
-    """Give the stream up at this stage and tell the entry.
+    """Report to the entry that this stage can't continue the stream.
 
     Attributes:
         reason: A `StageFailure` value.
-        message: What was seen.
+        message: Description of the failure.
     """
 
     reason: str
--- a/caroblug/core/recovery/_release.py
+++ b/caroblug/core/recovery/_entry_stream.py
@@ -1,12 +1,13 @@
-"""One stream at the entry: tokens released once, in order."""
+"""State of one stream at the entry, which releases its tokens in order."""
 
 
 class EntryStream:
-    """Reassembles the tokens of one stream, whichever attempt brings them.
+    """Reassembles the tokens of one stream across attempts.
 
     Args:
         prompt: Tokens of the prompt.
-        max_length: Tokens after which the stream is complete.
+        max_length: Number of tokens, prompt included, at which the stream is
+            complete.
     """
 
     def __init__(self, prompt: list[int], max_length: int) -> None:
@@ -18,7 +19,7 @@
 
     @property
     def attempt(self) -> int:
-        """Number of the newest attempt; 0 before the first."""
+        """Number of the newest attempt; 0 before the first one."""
         return self._attempt
 
     @property
@@ -28,12 +29,12 @@
 
     @property
     def generated(self) -> int:
-        """How many tokens have been accepted after the prompt."""
+        """Number of accepted tokens after the prompt."""
         return len(self._tokens) - self.prompt_length
 
     @property
     def complete(self) -> bool:
-        """Whether every token has been accepted."""
+        """Whether all tokens have been accepted."""
         return len(self._tokens) >= self.max_length
 
     def begin_attempt(self) -> int:
@@ -42,19 +43,31 @@
         return self._attempt
 
     def is_current(self, attempt: int) -> bool:
-        """Tells whether a token of this attempt may be taken.
+        """Returns whether tokens of an attempt are accepted.
 
         Guards against two tokens for one position: a token of an older
-        attempt may be late, and its position sampled anew meanwhile. The
-        stages that live on send again what the entry lacks.
+        attempt may arrive late, after its position has been sampled again.
+        The surviving stages resend the tokens that the entry lacks.
         """
         return attempt == self._attempt
 
     def on_token(self, position: int, token: int) -> list[int]:
-        """Takes a token and returns those now released, in order.
+        """Accepts a token and returns the tokens now released, in order.
 
-        Guards against tokens that come twice, early or from an older attempt:
-        a position is released once, and a second token for it must be equal.
+        Guards against tokens that arrive twice, early or from an older
+        attempt: a position is released once, and a second token for it must
+        be equal.
+
+        Args:
+            position: Index of the token in the sequence, prompt included.
+            token: The token.
+
+        Returns:
+            The released tokens.
+
+        Raises:
+            AssertionError: If the position is past the end or another token
+                was accepted for it.
         """
         if position >= self.max_length:
             raise AssertionError(f"token past the end, at {position}")
--- a/caroblug/core/recovery/_stage.py
+++ b/caroblug/core/recovery/_stage.py
@@ -1,14 +1,13 @@
-"""One stream at one stage: which positions it accepts, keeps and sends.
+"""State machine of one stream at one stage of a chain.
 
-A stage accepts just the next position of the newest attempt it knows. It
-keeps its outputs in a bounded journal, so that a replacement of the next
-stage is fed again from here, and this stage's engine does not run a position
-twice.
+A stage accepts only the next position of the newest attempt that it knows. It
+retains its outputs in a bounded journal. A replacement of the next stage is
+fed from this journal, so that the engine of this stage runs no position twice.
 
 References:
     Borzunov et al., "Petals: Collaborative Inference and Fine-tuning of Large
     Models", 2022: a client-side journal of stage inputs; here the previous
-    stage keeps it.
+    stage holds the journal.
 """
 
 import enum
@@ -24,11 +23,11 @@
 )
 
 DEFAULT_JOURNAL_POSITIONS = 8192
-_GAPS_PER_NEED = 16
+_GAP_FRAMES_PER_NEED = 16
 
 
 class StageFailure(enum.StrEnum):
-    """Why a stage gives up a stream."""
+    """Reason for which a stage refuses or ends a stream."""
 
     JOURNAL_LOST = "journal_lost"
     ENGINE_FAILED = "engine_failed"
@@ -41,12 +40,16 @@
 
 
 class StageStream:
-    """The state of one stream at one stage.
+    """State of one stream at one stage.
+
+    The methods take events and return the effects to carry out.
 
     Args:
-        is_first: Whether it is the chain's first stage, fed by tokens.
-        is_last: Whether it is the chain's last stage, which samples.
-        journal_positions: Outputs kept for the next stage.
+        is_first: Whether this is the first stage of the chain, whose inputs
+            are tokens.
+        is_last: Whether this is the last stage of the chain, which samples.
+        journal_positions: Maximum number of outputs retained for the next
+            stage.
     """
 
     def __init__(
@@ -70,22 +73,22 @@
         self._sampled: dict[int, int] = {}
         self._known_length = 0
         self._send_from = 0
-        self._asked = -1
-        self._gaps = 0
+        self._requested = -1
+        self._gap_frames = 0
 
     @property
     def attempt(self) -> int:
-        """The newest attempt known; 0 before the first open."""
+        """Number of the newest known attempt; 0 before the first open."""
         return self._attempt
 
     @property
     def tokens(self) -> list[int]:
-        """Tokens that the first stage has, prompt included."""
+        """Tokens known to the first stage, prompt included."""
         return list(self._tokens)
 
     @property
     def done(self) -> int:
-        """Positions that the engine has run."""
+        """Number of positions that the engine has run."""
         return self._done
 
     def open(
@@ -97,19 +100,21 @@
         max_length: int,
         sends_from: int = 0,
     ) -> list[Effect]:
-        """Opens the stream, or opens it again under a newer attempt.
+        """Opens the stream, or reopens it under a newer attempt.
 
         Args:
             attempt: Number of the attempt, from 1.
             tokens: Prompt and accepted tokens, at the first stage only.
-            known_length: Tokens that are settled, prompt included.
-            prompt_length: Tokens of the prompt.
-            max_length: Tokens after which the stream is complete.
-            sends_from: First position that the previous stage sends of its
-                own accord.
+            known_length: Number of settled tokens, prompt included: those
+                that the entry or the first stage has.
+            prompt_length: Number of tokens of the prompt.
+            max_length: Number of tokens, prompt included, at which the stream
+                is complete.
+            sends_from: First position that the previous stage sends without
+                a request.
 
         Returns:
-            What to do; nothing for an attempt that is not newer.
+            The effects; none for an attempt that is not newer.
         """
         if attempt <= self._attempt:
             return []
@@ -121,20 +126,20 @@
         effects: list[Effect] = []
         if not self.is_last:
             effects.append(ForwardOpen(self._known_length, self._done))
-        effects += self._tell_sampled()
+        effects += self._resend_sampled()
         if self.is_first:
             effects += self._reopen_first(tokens)
         elif self._submitted != sends_from:
-            effects.append(self._need())
+            effects.append(self._request_states())
         return effects
 
-    def _tell_sampled(self) -> list[Effect]:
-        """Sends again what the entry may have missed.
+    def _resend_sampled(self) -> list[Effect]:
+        """Returns effects that resend sampled tokens which may be lost.
 
         Guards against a token lost with the entry's connection or with the
-        stage that was to receive it: the entry's count of tokens is behind
-        the last stage's. The kept token is sent again and never re-sampled,
-        so the caller can't see two tokens for one position.
+        first stage: the entry then has fewer tokens than the last stage has
+        sampled. The retained token is resent and never sampled again, so the
+        caller can't see two tokens for one position.
         """
         return [
             SendToken(position, token)
@@ -145,7 +150,7 @@
     def _reopen_first(self, tokens: list[int]) -> list[Effect]:
         shared = min(len(tokens), len(self._tokens))
         if tokens[:shared] != self._tokens[:shared]:
-            raise AssertionError("one stream was given two sets of tokens")
+            raise AssertionError("a stream was reopened with different tokens")
         effects: list[Effect] = [
             SendToken(position, self._tokens[position], to_first_stage=False)
             for position in range(len(tokens), len(self._tokens))
@@ -163,7 +168,7 @@
         return [RunUnit(self._attempt, start, inputs)]
 
     def on_token(self, attempt: int, position: int, token: int) -> list[Effect]:
-        """Takes the token for `position` from the last stage."""
+        """Accepts the token for `position` from the last stage."""
         if attempt != self._attempt or position > len(self._tokens):
             return []
         if position < len(self._tokens):
@@ -176,42 +181,49 @@
     def on_states(
         self, attempt: int, position: int, states: list[bytes]
     ) -> list[Effect]:
-        """Takes hidden states from the previous stage.
+        """Accepts hidden states from the previous stage.
 
-        Guards against frames that come twice, late or after a gap: only the
-        part from the next position on is run, a gap is asked for again. It
-        is asked for once, and then only now and then: each frame behind the
-        gap would else bring the whole journal.
+        Guards against frames that arrive twice, late or after a gap: only the
+        part from the next position on is run, and missing positions are
+        requested again. The request is sent once, and repeated only with
+        every `_GAP_FRAMES_PER_NEED`-th frame after a gap: if every such frame
+        caused one, the previous stage would resend its journal each time.
         """
         if attempt != self._attempt:
             return []
         if position > self._submitted:
             return self._on_gap()
-        fresh = states[self._submitted - position :]
-        if not fresh:
+        new_states = states[self._submitted - position :]
+        if not new_states:
             return []
         start = self._submitted
-        self._submitted += len(fresh)
-        return [RunUnit(self._attempt, start, tuple(fresh))]
+        self._submitted += len(new_states)
+        return [RunUnit(self._attempt, start, tuple(new_states))]
 
     def _on_gap(self) -> list[Effect]:
-        self._gaps += 1
-        if self._asked == self._submitted and self._gaps % _GAPS_PER_NEED:
+        self._gap_frames += 1
+        if (
+            self._requested == self._submitted
+            and self._gap_frames % _GAP_FRAMES_PER_NEED
+        ):
             return []
-        return [self._need()]
+        return [self._request_states()]
 
-    def _need(self) -> SendNeed:
-        self._asked = self._submitted
+    def _request_states(self) -> SendNeed:
+        self._requested = self._submitted
         return SendNeed(self._submitted)
 
     def on_states_run(self, position: int, states: list[bytes]) -> list[Effect]:
-        """Takes the engine's outputs, at every stage but the last.
+        """Accepts the outputs of the engine, at every stage but the last.
 
         Args:
             position: First position that was run.
             states: One output per position.
+
+        Returns:
+            The effects, which send the outputs to the next stage.
         """
-        self._expect_done(position)
+        self._check_next_run(position)
         self._done += len(states)
         self._journal.extend(states)
         self._trim_journal()
@@ -223,27 +235,31 @@
     def on_sampled(
         self, position: int, length: int, token: int
     ) -> list[Effect]:
-        """Takes the last stage's answer for `length` positions.
+        """Accepts the result of the engine at the last stage.
+
+        Guards against two tokens for one position: a replacement that runs
+        settled positions again also samples them, and a different kind of
+        engine may sample another token. Tokens sampled for settled positions
+        are never sent.
 
         Args:
             position: First position that was run.
-            length: Positions that were run.
-            token: The token sampled after the last of them.
+            length: Number of positions that were run.
+            token: Token sampled after the last of them.
 
-        Guards against two tokens for one position: a replacement that runs
-        settled positions again samples too, and engines of another kind may
-        sample otherwise. A settled token is never sent.
+        Returns:
+            The effects, which send the token unless its position is settled.
         """
-        self._expect_done(position)
+        self._check_next_run(position)
         self._done += length
-        place = self._done
-        if place < max(self._prompt_length, self._known_length):
+        token_position = self._done
+        if token_position < max(self._prompt_length, self._known_length):
             return []
-        self._sampled[place] = token
-        return [SendToken(place, token)]
+        self._sampled[token_position] = token
+        return [SendToken(token_position, token)]
 
     def on_need(self, attempt: int, position: int) -> list[Effect]:
-        """Sends outputs from `position` on, again if they were sent."""
+        """Sends outputs from `position` on, even if they were sent before."""
         if attempt != self._attempt:
             return []
         self._send_from = position
@@ -253,20 +269,20 @@
             return [
                 FailStream(
                     StageFailure.JOURNAL_LOST,
-                    f"position {position} is no longer kept",
+                    f"position {position} is no longer in the journal",
                 )
             ]
         states = self._journal[position - self._journal_start :]
         return [SendStates(position, tuple(states))]
 
-    def _expect_done(self, position: int) -> None:
+    def _check_next_run(self, position: int) -> None:
         if position != self._done:
             raise AssertionError(
                 f"engine answered position {position}, not {self._done}"
             )
 
     def _trim_journal(self) -> None:
-        extra = len(self._journal) - self.journal_positions
-        if extra > 0:
-            del self._journal[:extra]
-            self._journal_start += extra
+        excess = len(self._journal) - self.journal_positions
+        if excess > 0:
+            del self._journal[:excess]
+            self._journal_start += excess
--- a/caroblug/core/recovery/tests/test_chain_machine.py
+++ b/caroblug/core/recovery/tests/test_chain_machine.py
@@ -1,4 +1,4 @@
-"""A whole chain as a state machine: stages, an entry and a faulty network."""
+"""Model-based test of a chain of stages, an entry and a faulty network."""
 
 import hashlib
 
@@ -29,7 +29,7 @@
 _PROMPT = [5, 3, 8]
 _LENGTH = 14
 _JOURNAL = 64
-_MESSAGES = 400
+_MAX_ROUNDS = 400
 
 
 def _hash(*parts) -> bytes:
@@ -58,11 +58,7 @@
 
 @attrs.define
 class _Process:
-    """A side process and its engine, which runs what it is told.
-
-    `mailbox` holds (sender's name, message) in order of arrival: a session
-    between two processes delivers each message once, in order.
-    """
+    """A side process and its engine, with the units that are to be run."""
 
     index: int
     name: int
@@ -73,11 +69,14 @@
     next: "_Process | None" = None
     previous: "_Process | None" = None
     first: "_Process | None" = None
-    lives: bool = True
+    is_alive: bool = True
 
 
 class ChainMachine(RuleBasedStateMachine):
-    """Steps come late, twice or never; stages die and wake at each point."""
+    """Model in which steps are late, doubled or lost, and stages die.
+
+    Messages between two processes stay in order, as in a session.
+    """
 
     def __init__(self):
         super().__init__()
@@ -86,7 +85,7 @@
         self.links = {}
         self.names = 0
         self.chain = []
-        self.gone = []
+        self.replaced = []
         self.failed = False
 
     @initialize()
@@ -130,7 +129,7 @@
     @precondition(lambda self: any(self.links.values()))
     @rule(data=st.data())
     def lose_step(self, data):
-        """A step or a batch of steps is lost; a later one shows the gap."""
+        """A message with one or more steps is lost; a later one shows the gap."""
         steps = [
             (link, number)
             for link, queue in sorted(self.links.items())
@@ -144,7 +143,9 @@
     @rule(data=st.data())
     def run_engine(self, data):
         """One engine runs its next unit, whole or in two parts."""
-        ready = [p for p in self.chain + self.gone if p.units and p.lives]
+        ready = [
+            p for p in self.chain + self.replaced if p.units and p.is_alive
+        ]
         if not ready:
             return
         process = data.draw(st.sampled_from(ready))
@@ -157,19 +158,19 @@
     @precondition(lambda self: not self.entry.complete and self.names < 16)
     @rule(lost=st.sets(st.integers(0, _STAGES - 1), min_size=1, max_size=2))
     def replace(self, lost):
-        """Some stages die, or only seem to, and are replaced."""
+        """Some stages die, or only appear to, and are replaced."""
         for index in lost:
-            self.gone.append(self.chain[index])
+            self.replaced.append(self.chain[index])
             self.chain[index] = self._make(index)
         self._open()
 
-    @precondition(lambda self: any(p.lives for p in self.gone))
+    @precondition(lambda self: any(p.is_alive for p in self.replaced))
     @rule(data=st.data())
     def die(self, data):
-        """A stage that was given up turns out to be dead, with its links."""
-        alive = [p for p in self.gone if p.lives]
+        """A replaced stage dies, with the messages on its links."""
+        alive = [p for p in self.replaced if p.is_alive]
         process = data.draw(st.sampled_from(alive))
-        process.lives = False
+        process.is_alive = False
         for link, queue in self.links.items():
             if process.name in link:
                 queue.clear()
@@ -178,7 +179,7 @@
         if receiver is None:
             self._at_entry(*parts)
             return
-        if not receiver.lives:
+        if not receiver.is_alive:
             return
         if kind == "open":
             self._at_open(receiver, *parts)
@@ -258,7 +259,7 @@
         self._apply(process, effects)
 
     def salt(self, process):
-        """Returns what makes this engine's sampling its own."""
+        """Returns the salt of this engine's sampling; the same for all here."""
         del process
         return b""
 
@@ -271,35 +272,35 @@
         assert self.entry.tokens == _reference()
 
     def teardown(self):
-        """Whatever has happened, the newest attempt comes to its end."""
+        """Checks that the stream completes after any sequence of faults."""
         if not self.chain:
             return
         if not self.entry.complete:
             self._open()
-        for _ in range(_MESSAGES):
+        for _ in range(_MAX_ROUNDS):
             if self.entry.complete:
                 break
-            self._settle()
+            self._deliver_and_run_all()
         assert self.entry.complete
         self.check_answer()
 
-    def _settle(self):
+    def _deliver_and_run_all(self):
         for link in sorted(self.links):
             queue = self.links[link]
             while queue:
                 self._receive(*queue.pop(0))
-        for process in self.chain + self.gone:
-            while process.units and process.lives:
+        for process in self.chain + self.replaced:
+            while process.units and process.is_alive:
                 unit = process.units.pop(0)
                 self._run(process, unit.position, unit.inputs)
 
 
-class OwnSamplingMachine(ChainMachine):
-    """The same, with engines that each sample otherwise.
+class DifferentSamplingMachine(ChainMachine):
+    """Model in which every engine samples different tokens.
 
-    A caller would read a sentence that the model never continued: engines of
-    another kind may sample another token for a position that is settled. The
-    entry's tokens and those the first stage went on with must be the same.
+    Guards against a caller that gets tokens which don't follow from each
+    other: a different kind of engine may sample another token for a settled
+    position. The entry's tokens must equal those of the first stage.
     """
 
     def salt(self, process):
@@ -310,13 +311,14 @@
         assert newest.tokens[: len(self.entry.tokens)] == self.entry.tokens
 
 
-@pytest.mark.parametrize("machine", [ChainMachine, OwnSamplingMachine])
+@pytest.mark.parametrize("machine", [ChainMachine, DifferentSamplingMachine])
 def test_chain(machine):
-    """A caller sees a wrong, doubled or missing word after a fault.
+    """A caller gets a wrong, doubled or missing token after a fault.
 
-    Steps come twice, late, from old attempts or not at all, and stages are
-    replaced at every point, some of them living on as zombies. The tokens
-    are the reference's, and no engine runs a position twice or skips one.
+    Steps arrive twice, late, from old attempts or not at all, and stages are
+    replaced at every point, while some replaced ones go on running. The
+    tokens must equal the reference, and no engine runs a position twice or
+    skips one.
     """
     case = machine.TestCase
     case.settings = settings(
--- a/caroblug/core/recovery/tests/test_stage.py
+++ b/caroblug/core/recovery/tests/test_stage.py
@@ -1,4 +1,4 @@
-"""Tests of one stream at one stage."""
+"""Tests of the state machine of a stage and of the stream at the entry."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -26,11 +26,11 @@
     )
 )
 def test_each_position_runs_once_in_order(frames):
-    """A caller sees a wrong answer when a layer runs a position twice.
+    """A caller gets a wrong answer when a layer runs a position twice.
 
     Frames from the previous stage arrive twice, late, early and from an
-    older attempt; whatever the order, the engine is given each position
-    once, in order.
+    older attempt. For any order, the engine runs each position once, in
+    order.
     """
     stage = StageStream(is_first=False, is_last=False)
     stage.open(2, [], 4, 4, 20)
@@ -46,10 +46,10 @@
 
 
 def test_replacement_is_fed_from_the_journal():
-    """A caller waits through a full prefill when one late stage dies.
+    """A caller waits for a full prefill when a later stage dies.
 
-    The last stage dies; its replacement asks for everything; the stage that
-    lives on sends its kept outputs and runs nothing again.
+    The last stage dies and its replacement requests all positions. The
+    surviving stage sends them from its journal and runs none again.
     """
     stage = StageStream(is_first=True, is_last=False)
     effects = stage.open(1, [5, 6, 7], 3, 3, 10)
@@ -61,7 +61,7 @@
     assert stage.on_need(1, 0) == []
 
 
-def test_lost_journal_is_said():
+def test_position_missing_from_the_journal_fails_the_stream():
     stage = StageStream(is_first=True, is_last=False, journal_positions=2)
     stage.open(1, [1, 2, 3], 3, 3, 10)
     stage.on_states_run(0, [_state(p) for p in range(3)])
@@ -69,11 +69,11 @@
     assert isinstance(effect, FailStream)
 
 
-def test_last_stage_sends_a_kept_token_again():
-    """A caller's stream stops when its next token is lost on the way.
+def test_last_stage_resends_a_sampled_token():
+    """A caller's stream stalls when its next token is lost in transit.
 
-    The last stage samples a token, the entry's connection breaks, and the
-    entry opens a newer attempt with one token less; the kept one is sent.
+    The last stage samples a token, the connection to the entry breaks, and
+    the entry opens a newer attempt without that token, which must be resent.
     """
     stage = StageStream(is_first=False, is_last=True)
     stage.open(1, [], 3, 3, 10)
@@ -82,12 +82,12 @@
     assert stage.open(2, [], 3, 3, 10) == [SendToken(3, 42), SendNeed(3)]
 
 
-def test_settled_token_is_not_sampled_anew():
-    """A caller reads a sentence that the model never continued.
+def test_settled_token_is_not_sampled_again():
+    """A caller gets tokens that don't follow from each other.
 
-    The first stage has a token that the entry lacks, and the last stage is
-    replaced by an engine of another kind, which runs the settled positions
-    again and samples otherwise. Only the first stage tells the entry.
+    The first stage has a token that the entry lacks. The last stage is
+    replaced by a different kind of engine, which runs the settled positions
+    again and samples another token. Only the first stage's token may be sent.
     """
     first = StageStream(is_first=True, is_last=False)
     first.open(1, [5, 6, 7], 3, 3, 10)
@@ -104,7 +104,7 @@
 
 
 def test_old_attempt_is_refused():
-    """A process that was frozen wakes up and goes on with its old attempt."""
+    """A process that was suspended resumes and continues an old attempt."""
     stage = StageStream(is_first=False, is_last=False)
     stage.open(2, [], 3, 3, 10)
     assert stage.on_states(1, 0, [_state(0)]) == []
@@ -113,15 +113,15 @@
 
 
 @given(st.permutations(list(range(8))), st.lists(st.integers(0, 7)))
-def test_entry_releases_each_token_once_in_order(order, repeats):
-    """A caller sees a word twice or out of order after a recovery.
+def test_entry_releases_each_token_once_in_order(order, duplicates):
+    """A caller gets a token twice or out of order after a recovery.
 
-    Tokens of two attempts arrive crossed and repeated; each position is
-    released once, in order.
+    Tokens of two attempts arrive interleaved and duplicated; each position
+    is released once, in order.
     """
     entry = EntryStream([1, 2], 10)
     released = []
-    for position in [*repeats, *order]:
+    for position in [*duplicates, *order]:
         released += entry.on_token(position + 2, 100 + position)
     assert released == [100 + p for p in range(8)]
     assert entry.complete
