--- a/caroblug/core/recovery/tests/test_chain_machine.py
+++ b/caroblug/core/recovery/tests/test_chain_machine.py
@@ -129,7 +129,7 @@
     @precondition(lambda self: any(self.links.values()))
     @rule(data=st.data())
     def lose_step(self, data):
-        """A message with one or more steps is lost; a later one shows the gap."""
+        """A message with steps is lost, and a later one shows the gap."""
         steps = [
             (link, number)
             for link, queue in sorted(self.links.items())
