--- a/caroblug/gateway/_peers.py
+++ b/caroblug/gateway/_peers.py
@@ -12,10 +12,13 @@
 
 from caroblug.core.placement import LayerRange
 from caroblug.gateway._context import Context
-from caroblug.gateway._crashes import Crashes
-from caroblug.gateway._holder_watch import UNKNOWN_MS, HolderWatch
+from caroblug.gateway._crash_suspicions import CrashSuspicions
 from caroblug.gateway._http_client import Address
 from caroblug.gateway._interfaces import Member, Registry, Unavailable
+from caroblug.gateway._lease_holder_tracker import (
+    UNKNOWN_AGE_MS,
+    LeaseHolderTracker,
+)
 from caroblug.gateway._packing import Packer, unpack
 from caroblug.gateway._peer_calls import UNREADABLE, PeerCalls
 from caroblug.gateway._readers import Readers
@@ -60,7 +63,7 @@
 or are lost."""
 
 
-class TenureState(enum.Enum):
+class LeaseState(enum.Enum):
     """How a gateway stands to the lease on placing layers."""
 
     NONE = "none"
@@ -78,7 +81,7 @@
     """
 
     def __init__(
-        self, context: Context, registry: Registry, crashes: Crashes
+        self, context: Context, registry: Registry, crashes: CrashSuspicions
     ) -> None:
         self._context = context
         self._crashes = crashes
@@ -88,10 +91,10 @@
         self._heard_ms: dict[str, int] = {}
         self._busy: set[str] = set()
         self._fetch_from: set[str] = set()
-        self._tenures: dict[str, TenureState] = {}
+        self._lease_states: dict[str, LeaseState] = {}
         self._near: set[str] = set()
         self._far: set[str] = set()
-        self._holders = HolderWatch(context.clock.now_ms())
+        self._holders = LeaseHolderTracker(context.clock.now_ms())
         self._versions: dict[str, int] = {}
         self._readers = Readers(context.clock, context.settings.instance)
         self._repeats_left: dict[str, dict[str, int]] = {}
@@ -100,8 +103,8 @@
         self._configurations = Packer()
         self._lists = Packer()
         self._calls = PeerCalls(context)
-        self._calls.serve(TELL_PATH, self._take)
-        self.tenure = TenureState.NONE
+        self._calls.serve(TELL_PATH, self._handle_message)
+        self.lease_state = LeaseState.NONE
 
     @property
     def readers(self) -> Readers:
@@ -121,7 +124,7 @@
             reads += 1
             if not isinstance(members, Unavailable):
                 for member in members:
-                    self._on_member(member)
+                    self._add_member(member)
             self._forget_old()
             young = reads <= _FIRST_READS and not self._enough()
             pause_ms = _FIRST_MEMBERS_MS if young else _MEMBERS_MS
@@ -187,7 +190,7 @@
             and name not in wanted
         ]
         rng = self._context.rng
-        reads = bool(self._tenures) and self.is_first_at_home()
+        reads = bool(self._lease_states) and self.is_first_local_reader()
         most = _READER_PARTNERS if reads else _PARTNERS
         chosen = rng.sample(wanted, min(len(wanted), most))
         return chosen + self._sample(names, most - len(chosen))
@@ -215,7 +218,7 @@
 
     def _tell(self, name: str) -> None:
         try:
-            answer = self.call(name, TELL_PATH, self._message())
+            answer = self.call(name, TELL_PATH, self._build_message())
         finally:
             self._busy.discard(name)
         if isinstance(answer, Unavailable):
@@ -225,16 +228,16 @@
         except UNREADABLE as error:
             self._calls.note_unreadable(TELL_PATH, error)
 
-    def _message(self) -> dict:
+    def _build_message(self) -> dict:
         context = self._context
         now_ms = context.clock.now_ms()
         settings = context.settings
-        told = context.fleet.recently_told(now_ms)
+        told = context.fleet.recent_reports(now_ms)
         return {
             "name": settings.instance,
             "address": list(settings.peers),
             "data_centre": settings.data_centre,
-            "loads": context.fleet.loads.own(),
+            "loads": context.fleet.loads.own_tokens(),
             "version": self._version(),
             "version_age_ms": self._readers.version_age_ms,
             "rank": self._readers.rank,
@@ -242,26 +245,26 @@
             "list_age_ms": self._list_age_ms(),
             "list_digest": context.fleet.listing.digest,
             "list_end": context.fleet.listing.end,
-            "suspects": context.fleet.avoided_now(now_ms),
+            "suspects": context.fleet.ejected(now_ms),
             "told": {
                 engine: [layers.first, layers.end, age_ms]
                 for engine, (layers, age_ms) in told.items()
             },
-            "paces": context.fleet.recent_paces(now_ms),
+            "paces": context.fleet.recent_slowdowns(now_ms),
             "leaving": context.fleet.recently_leaving(now_ms),
-            "unanswered": context.fleet.uncertain(now_ms),
-            "crashes": self._crashes.tell(),
-            "tenure": self.tenure.value,
+            "unanswered": context.fleet.unanswered_orders(now_ms),
+            "crashes": self._crashes.export(),
+            "tenure": self.lease_state.value,
             "holder_age_ms": self._holder_age_ms(now_ms),
         }
 
-    def _take(self, message: dict) -> dict:
+    def _handle_message(self, message: dict) -> dict:
         """Takes another gateway's message; returns the answer."""
         name = message["name"]
         host, port = message["address"]
-        self._on_member(Member(name, (str(host), int(port))))
-        self._take_news(name, message)
-        answer = self._message()
+        self._add_member(Member(name, (str(host), int(port))))
+        self._apply_peer_state(name, message)
+        answer = self._build_message()
         if message["version"] < self._version():
             raw = self._context.raw_configuration
             answer["packed_configuration"] = self._configurations.pack(raw)
@@ -292,7 +295,7 @@
         known = context.configuration
         gateways = context.fleet.loads.gateways
         return {
-            name: int(context.repeats.remaining(name, gateways, now_ms))
+            name: int(context.retry_budget.remaining(name, gateways, now_ms))
             for name in (known.services if known is not None else ())
         }
 
@@ -302,17 +305,17 @@
 
     def _take_answer(self, answer: dict, name: str) -> None:
         context = self._context
-        self._take_news(name, answer)
+        self._apply_peer_state(name, answer)
         packed = answer.get("packed_configuration")
         if packed and int(answer["version"]) > self._version():
             raw = unpack(packed)
             configuration = self._registry.decode_configuration(raw)
             if not isinstance(
                 configuration, Unavailable
-            ) and context.take_configuration(configuration, raw, name):
+            ) and context.apply_configuration(configuration, raw, name):
                 self.on_new_version(
                     context.clock.now_ms()
-                    - int(answer.get("version_age_ms", UNKNOWN_MS))
+                    - int(answer.get("version_age_ms", UNKNOWN_AGE_MS))
                 )
         packed_list = answer.get("packed_list")
         if packed_list:
@@ -322,17 +325,17 @@
             if not isinstance(listing, Unavailable):
                 age_ms = int(answer["list_age_ms"])
                 listed_ms = context.clock.now_ms() - age_ms
-                context.fleet.take_listing(listing, listed_ms)
+                context.fleet.update_listing(listing, listed_ms)
 
     # What was told.
 
-    def _on_member(self, member: Member) -> None:
+    def _add_member(self, member: Member) -> None:
         if member.name == self._context.settings.instance:
             return
         self._members[member.name] = member.address
         self._seen_ms[member.name] = self._context.clock.now_ms()
 
-    def _take_news(self, name: str, message: dict) -> None:
+    def _apply_peer_state(self, name: str, message: dict) -> None:
         home = message["data_centre"] == self._context.settings.data_centre
         (self._near if home else self._far).add(name)
         self._on_loads(name, message["loads"])
@@ -347,22 +350,22 @@
         self._readers.hear(name, int(message.get("rank", 0)))
         self._versions[name] = int(message["version"])
         if self._versions[name] == self._version():
-            age_ms = int(message.get("version_age_ms", UNKNOWN_MS))
+            age_ms = int(message.get("version_age_ms", UNKNOWN_AGE_MS))
             self._readers.confirm_version(self._context.clock.now_ms() - age_ms)
         self._repeats_left[name] = {
             str(service): int(left)
             for service, left in message.get("repeats", {}).items()
         }
-        self._crashes.hear(message["crashes"])
+        self._crashes.merge(message["crashes"])
         now_ms = self._context.clock.now_ms()
-        before = self._tenures.get(name)
-        self._tenures[name] = TenureState(message["tenure"])
+        before = self._lease_states.get(name)
+        self._lease_states[name] = LeaseState(message["tenure"])
         holder_age_ms = int(message["holder_age_ms"])
-        if holder_age_ms < UNKNOWN_MS:
+        if holder_age_ms < UNKNOWN_AGE_MS:
             self._holders.on_heard(now_ms - holder_age_ms)
-        if (before, self._tenures[name]) == (
-            TenureState.HELD,
-            TenureState.LEAVING,
+        if (before, self._lease_states[name]) == (
+            LeaseState.HELD,
+            LeaseState.LEAVING,
         ):
             # It gives no more orders: a deputy need not wait for its silence.
             self._holders.on_left(now_ms)
@@ -406,7 +409,7 @@
         """
         now_ms = self._context.clock.now_ms()
         for name, (pace, age_ms) in paces.items():
-            self._context.fleet.on_pace(
+            self._context.fleet.on_slowdown(
                 str(name), float(pace), now_ms - int(age_ms)
             )
 
@@ -426,20 +429,20 @@
         tokens = {str(key): float(value) for key, value in loads.items()}
         self._heard_ms[name] = self._context.clock.now_ms()
         loads = self._context.fleet.loads
-        loads.hear(name, tokens, near=name not in self._far)
+        loads.update_peer(name, tokens, local=name not in self._far)
         # Whose data centre isn't known yet is no neighbour: at the start
         # that is everybody, for a second.
         known = self._near & set(self._members)
-        loads.neighbours = len(known) + 1
+        loads.local_gateways = len(known) + 1
 
     def _on_suspects(self, names: list) -> None:
         """Looks into what another gateway takes to be gone.
 
         Its word alone isn't believed: it may itself be cut off.
         """
-        self._context.ask_about.update(str(name) for name in names)
+        self._context.engines_to_probe.update(str(name) for name in names)
 
-    def is_first_at_home(self) -> bool:
+    def is_first_local_reader(self) -> bool:
         """Returns whether this is the first reader of its data centre."""
         return self._readers.is_first(self._neighbours())
 
@@ -452,40 +455,40 @@
         """Returns other gateways of the data centre that are heard."""
         return [name for name in self._staying() if name not in self._far]
 
-    def is_deputy(self) -> bool:
+    def is_acting_standby(self) -> bool:
         """Returns whether this gateway places layers for want of a holder.
 
         That is the first by name of those that are heard and stay, once no
         holder of the lease has been heard of for some time.
         """
-        if self.tenure is TenureState.HELD:
+        if self.lease_state is LeaseState.HELD:
             return False
         if not self._holders.is_missing(self._context.clock.now_ms()):
             return False
         me = self._context.settings.instance
         return me == min([me, *self._staying()])
 
-    def hear_holder(self) -> bool:
+    def another_holds_lease(self) -> bool:
         """Returns whether another gateway says that it holds the lease."""
-        return TenureState.HELD in self._tenures.values()
+        return LeaseState.HELD in self._lease_states.values()
 
     def _staying(self) -> list[str]:
         """Returns the names of gateways that are heard and don't leave."""
         return [
             name
-            for name, tenure in self._tenures.items()
-            if tenure is not TenureState.LEAVING
+            for name, state in self._lease_states.items()
+            if state is not LeaseState.LEAVING
         ]
 
     def _holder_age_ms(self, now_ms: int) -> int:
         """Returns how long ago a holder of the lease was heard of."""
-        if self.tenure is TenureState.HELD:
+        if self.lease_state is LeaseState.HELD:
             return 0
         return self._holders.age_ms(now_ms)
 
-    def describe(self) -> dict[str, str]:
+    def describe_lease_states(self) -> dict[str, str]:
         """Returns how the gateways that are heard stand to the lease."""
-        return {name: t.value for name, t in self._tenures.items()}
+        return {name: t.value for name, t in self._lease_states.items()}
 
     def _forget_old(self) -> None:
         now_ms = self._context.clock.now_ms()
@@ -503,9 +506,9 @@
         for name, heard_ms in list(self._heard_ms.items()):
             if now_ms - heard_ms > _SILENT_MS:
                 del self._heard_ms[name]
-                self._tenures.pop(name, None)
+                self._lease_states.pop(name, None)
                 self._repeats_left.pop(name, None)
-                self._context.fleet.loads.forget(name)
+                self._context.fleet.loads.remove_peer(name)
 
     def _enough(self) -> bool:
         """Returns whether as many are known as are told each time."""
@@ -518,6 +521,6 @@
 
     def _list_age_ms(self) -> int:
         fleet = self._context.fleet
-        if not fleet.known:
+        if not fleet.has_listing:
             return 1_000_000
-        return fleet.age_ms(self._context.clock.now_ms())
+        return fleet.listing_age_ms(self._context.clock.now_ms())
--- a/caroblug/gateway/_placement.py
+++ b/caroblug/gateway/_placement.py
@@ -13,19 +13,19 @@
 from caroblug.core.placement import (
     Engine,
     Move,
-    chain_room,
-    covers,
+    compute_requests_per_chain,
+    covers_model,
     plan_moves,
 )
 from caroblug.gateway._context import Context
-from caroblug.gateway._fleet import model_of
+from caroblug.gateway._fleet import require_model
 from caroblug.gateway._interfaces import (
     EngineReport,
     OrderOutcome,
     Registry,
     Unavailable,
 )
-from caroblug.gateway._peers import Peers, TenureState
+from caroblug.gateway._peers import LeaseState, Peers
 
 _RENEW_MS = 800
 _LEASE_MS = 2600
@@ -60,7 +60,7 @@
 """How often an engine that loads is asked; a load takes one to two seconds."""
 
 
-class Placement:
+class PlacementController:
     """Keeps the lease, and places layers while it is held.
 
     Args:
@@ -107,10 +107,12 @@
         """
         if self._stopped:
             return False
-        return self.holder or self._stays_on() or self._peers.is_deputy()
+        return (
+            self.holder or self._stays_on() or self._peers.is_acting_standby()
+        )
 
     def _stays_on(self) -> bool:
-        return self._stays and not self._peers.hear_holder()
+        return self._stays and not self._peers.another_holds_lease()
 
     def run_lease(self) -> None:
         """Renews the lease until stopped."""
@@ -129,24 +131,24 @@
         """
         asked_ms = self._context.clock.now_ms()
         held = self.holder
-        tenure = self._registry.keep_tenure(_LEASE_MS)
-        answered = not isinstance(tenure, Unavailable)
+        lease = self._registry.renew_placement_lease(_LEASE_MS)
+        answered = not isinstance(lease, Unavailable)
         if answered:
-            self._until_ms = asked_ms + _LEASE_MS if tenure.holder else -1
+            self._until_ms = asked_ms + _LEASE_MS if lease.holder else -1
             self._stays = False
-            self._context.fleet.loads.gateways = tenure.gateways
+            self._context.fleet.loads.gateways = lease.gateways
         elif held:
             self._stays = True
-        self._peers.tenure = self._state()
+        self._peers.lease_state = self._state()
         if held != self.holder:
             self._context.log.write("placement.lease", held=self.holder)
-        return answered and held and not tenure.holder
+        return answered and held and not lease.holder
 
-    def _state(self) -> TenureState:
+    def _state(self) -> LeaseState:
         if self._stopped:
-            return TenureState.LEAVING
+            return LeaseState.LEAVING
         held = self.holder or self._stays_on()
-        return TenureState.HELD if held else TenureState.NONE
+        return LeaseState.HELD if held else LeaseState.NONE
 
     def run_plan(self) -> None:
         """Compares plan and fleet until stopped."""
@@ -158,7 +160,7 @@
                     "placement.acting",
                     acting=acted,
                     lease=self.holder,
-                    gateways=self._peers.describe(),
+                    gateways=self._peers.describe_lease_states(),
                 )
             self.plan_once()
             gevent.sleep(_PLAN_MS / 1000)
@@ -175,10 +177,10 @@
     def stop(self) -> None:
         """Gives the lease back."""
         self._stopped = True
-        self._peers.tenure = self._state()
+        self._peers.lease_state = self._state()
         if self.holder:
             self._until_ms = -1
-            self._registry.end_tenure()
+            self._registry.release_placement_lease()
 
     def _place(self, service: Service) -> None:
         context = self._context
@@ -186,7 +188,7 @@
         engines = self._engines_to_count_on(service, now_ms)
         if self._settling(engines, now_ms):
             return
-        moves = plan_moves(engines, model_of(service), self._room(engines))
+        moves = plan_moves(engines, require_model(service), self._room(engines))
         for start in range(0, len(moves), _AT_ONCE):
             batch = moves[start : start + _AT_ONCE]
             jobs = [gevent.spawn(self._move, service, move) for move in batch]
@@ -209,10 +211,10 @@
             for e in fleet.engines(service, now_ms)
             if not fleet.has_ended(e.name)
             and fleet.failed_for_ms(e.name, now_ms) < _LOST_MS
-            and fleet.pace(e.name) < _TOO_SLOW
+            and fleet.slowdown(e.name) < _TOO_SLOW
         ]
         sound = [e for e in engines if not fleet.is_failing(e.name)]
-        return engines if covers(sound, model_of(service)) else sound
+        return engines if covers_model(sound, require_model(service)) else sound
 
     def _room(self, engines: list[Engine]) -> int:
         """Returns the requests that a chain keeps room for.
@@ -223,7 +225,9 @@
         gateways = self._context.fleet.loads.gateways
         self._most_gateways = max(self._most_gateways, gateways)
         data_centres = {e.data_centre for e in engines}
-        return chain_room(self._most_gateways, len(data_centres))
+        return compute_requests_per_chain(
+            self._most_gateways, len(data_centres)
+        )
 
     def _settling(self, engines: list[Engine], now_ms: int) -> bool:
         """Returns whether the first list is still growing.
@@ -243,15 +247,17 @@
         engine = move.engine
         report = context.dialect.read_report(engine.address)
         if isinstance(report, Unavailable):
-            context.fleet.avoid(engine.name, context.clock.now_ms())
+            context.fleet.eject(engine.name, context.clock.now_ms())
             context.log.write(
                 "placement.no_report",
                 backend_server=engine.name,
                 reason=report.message,
             )
             return
-        layers = model_of(service).layers
-        load_ms = model_of(service).load_s * 1000 * len(move.target) / layers
+        layers = require_model(service).layers
+        load_ms = (
+            require_model(service).load_s * 1000 * len(move.target) / layers
+        )
         if report.holds == move.target:
             context.fleet.on_report(
                 engine.name, report.holds, context.clock.now_ms()
@@ -270,7 +276,7 @@
         outcome = context.dialect.place(
             engine.address, move.target, report.orders, move.urgent
         )
-        context.tallies.count("orders", outcome=outcome.value)
+        context.telemetry.count("orders", outcome=outcome.value)
         context.log.write(
             "placement.order",
             backend_server=engine.name,
@@ -300,11 +306,11 @@
         order that was carried out late.
         """
         fleet = self._context.fleet
-        for keeper in move.keepers:
+        for keeper in move.remaining_holders:
             report = self._context.dialect.read_report(keeper.address)
             now_ms = self._context.clock.now_ms()
             if isinstance(report, Unavailable):
-                self._context.ask_about.add(keeper.name)
+                self._context.engines_to_probe.add(keeper.name)
                 reason = report.message
             elif report.busy:
                 fleet.on_busy(keeper.name, now_ms)
--- a/caroblug/gateway/_watches.py
+++ b/caroblug/gateway/_store_watcher.py
@@ -8,7 +8,7 @@
 from caroblug.gateway._context import Context
 from caroblug.gateway._interfaces import (
     ConfigurationRead,
-    NothingNew,
+    NoChange,
     Registry,
     Unavailable,
 )
@@ -74,7 +74,7 @@
 and other gateways, tell sooner that there is something to read."""
 
 
-class Watches:
+class StoreWatcher:
     """Keeps configuration and list of backend servers up to date.
 
     Args:
@@ -133,7 +133,7 @@
 
     def _read_next(
         self, end: int | None, failures: int
-    ) -> ConfigurationRead | NothingNew | Unavailable | None:
+    ) -> ConfigurationRead | NoChange | Unavailable | None:
         """Reads the newest configuration, or waits for one after `end`.
 
         Args:
@@ -163,7 +163,7 @@
         return None if isinstance(read, gevent.GreenletExit) else read
 
     def _wait_ms(self) -> int:
-        if self._peers.is_first_at_home():
+        if self._peers.is_first_local_reader():
             return _FIRST_WAIT_MS
         context = self._context
         gateways = max(1, context.fleet.loads.gateways)
@@ -185,7 +185,7 @@
             return
         if isinstance(
             read, ConfigurationRead
-        ) and self._context.take_configuration(
+        ) and self._context.apply_configuration(
             read.configuration, read.raw, "store"
         ):
             self._peers.on_new_version(confirmed_ms)
@@ -217,7 +217,7 @@
         next one may be in a long wait on a connection that went silent.
         """
         since_ms = self._waiting_since_ms
-        if since_ms is None or not self._peers.is_first_at_home():
+        if since_ms is None or not self._peers.is_first_local_reader():
             return
         if self._context.clock.now_ms() - since_ms > _FIRST_OVERDUE_MS:
             self._call.kill(block=False)
@@ -228,16 +228,21 @@
         while True:
             self._renew_wait()
             now_ms = self._context.clock.now_ms()
-            if fleet.known and fleet.age_ms(now_ms) < self._due_age_ms():
+            if (
+                fleet.has_listing
+                and fleet.listing_age_ms(now_ms) < self._due_age_ms()
+            ):
                 gevent.sleep(_LIST_LOOK_S)
                 continue
             if not self._read_list():
-                pause_ms = _LIST_AGAIN_MS if fleet.known else _START_LIST_MS
+                pause_ms = (
+                    _LIST_AGAIN_MS if fleet.has_listing else _START_LIST_MS
+                )
                 gevent.sleep(pause_ms / 1000)
 
     def _due_age_ms(self) -> float:
         base_ms = (
-            _LIST_MS if self._peers.is_first_at_home() else _OTHERS_LIST_MS
+            _LIST_MS if self._peers.is_first_local_reader() else _OTHERS_LIST_MS
         )
         return base_ms + self._context.rng.random() * _LIST_SPREAD_MS
 
@@ -258,17 +263,17 @@
         if listing.ignored != self._ignored:
             self._ignored = listing.ignored
             context.log.write("backends.ignored", records=listing.ignored)
-        context.fleet.take_listing(listing, asked_ms)
+        context.fleet.update_listing(listing, asked_ms)
         if was_lost:
             self._on_store_back()
-        context.tallies.gauge("backends", len(listing.backends))
+        context.telemetry.gauge("backends", len(listing.backends))
         return True
 
     def _note(self, what: str, read) -> None:
         """Writes a line when a dependency is lost or regained."""
-        self._context.tallies.count("store_calls", what=what)
+        self._context.telemetry.count("store_calls", what=what)
         if isinstance(read, Unavailable):
-            self._context.tallies.count("store_calls_failed", what=what)
+            self._context.telemetry.count("store_calls_failed", what=what)
             if what not in self._lost:
                 self._lost.add(what)
                 self._context.log.write(
--- a/caroblug/gateway/tests/fakes.py
+++ b/caroblug/gateway/tests/fakes.py
@@ -14,14 +14,14 @@
     GatewaySettings,
     Member,
     OrderOutcome,
+    PlacementLease,
     Registry,
-    Tenure,
     Unavailable,
 )
 from caroblug.gateway._context import Context
 from caroblug.gateway._decision_log import DecisionLog
 from caroblug.gateway._fleet import Fleet
-from caroblug.gateway._tallies import Tallies
+from caroblug.gateway._telemetry import Telemetry
 from caroblug.utils import ManualClock
 
 NOWHERE = ("127.0.0.1", 1)
@@ -44,7 +44,7 @@
     def decode_request(self, request):
         raise NotImplementedError
 
-    def encode_request(self, request, caller, sending):
+    def encode_request(self, request, caller, metadata):
         raise NotImplementedError
 
     def decode_answer(self, head):
@@ -78,7 +78,7 @@
     """A store whose answers a test sets."""
 
     def __init__(self) -> None:
-        self.tenure: Tenure | Unavailable = Tenure(True, 2)
+        self.lease: PlacementLease | Unavailable = PlacementLease(True, 2)
         self.members: tuple[Member, ...] | Unavailable = ()
 
     def read_configuration(self):
@@ -90,8 +90,8 @@
     def read_backends(self):
         return Unavailable("not set")
 
-    def keep_tenure(self, lease_ms):
-        return self.tenure
+    def renew_placement_lease(self, lease_ms):
+        return self.lease
 
     def read_members(self):
         return self.members
@@ -102,8 +102,8 @@
     def decode_listing(self, raw, end):
         return Unavailable("not set")
 
-    def end_tenure(self):
-        self.tenure = Tenure(False)
+    def release_placement_lease(self):
+        self.lease = PlacementLease(False)
 
 
 def make_context(name: str = "g1", clock: ManualClock | None = None) -> Context:
@@ -119,10 +119,10 @@
         rng=rng,
         dialect=FakeDialect(),
         fleet=Fleet("a", rng),
-        repeats=WindowedRetryBudget(0.2, 50, 10000),
+        retry_budget=WindowedRetryBudget(0.2, 50, 10000),
         retry_after=RetryAfter(rng),
         log=DecisionLog(name, clock),
-        tallies=Tallies(),
+        telemetry=Telemetry(),
     )
     pool = Service("pool", "/health", 10, MODEL)
     context.configuration = Configuration(5, {}, {"pool": pool})
--- a/caroblug/gateway/tests/test_repeats.py
+++ b/caroblug/gateway/tests/test_shared_retry_budget.py
@@ -6,8 +6,8 @@
 
 from caroblug.core.limits import WindowedRetryBudget
 from caroblug.gateway._interfaces import Member, Unavailable
-from caroblug.gateway._peers import TenureState
-from caroblug.gateway._repeats import LEND_PATH, Repeats
+from caroblug.gateway._peers import LeaseState
+from caroblug.gateway._shared_retry_budget import LEND_PATH, SharedRetryBudget
 from caroblug.gateway.tests.test_placement import make_placement, tell
 from caroblug.utils import ManualClock
 
@@ -21,7 +21,7 @@
 
     def __init__(self) -> None:
         self.clock = ManualClock(100_000)
-        self.repeats: dict[str, Repeats] = {}
+        self.repeats: dict[str, SharedRetryBudget] = {}
         self.windows: dict[str, WindowedRetryBudget] = {}
         self.cut_off: set[str] = set()
         self._peers = {}
@@ -31,18 +31,18 @@
 
     def _add(self, name: str) -> None:
         context, _, peers, _ = make_placement(name, self.clock)
-        context.repeats = WindowedRetryBudget(0.0, EXTRA, WINDOW_MS)
+        context.retry_budget = WindowedRetryBudget(0.0, EXTRA, WINDOW_MS)
         context.fleet.loads.gateways = GATEWAYS
         self._peers[name] = peers
-        self.windows[name] = context.repeats
-        self.repeats[name] = Repeats(context, peers)
+        self.windows[name] = context.retry_budget
+        self.repeats[name] = SharedRetryBudget(context, peers)
         peers.call = self.call
 
     def call(self, name: str, path: str, message: dict):
         if name in self.cut_off:
             return Unavailable("cut off")
         assert path == LEND_PATH
-        return self.repeats[name].answer_loan(message)
+        return self.repeats[name].handle_loan_request(message)
 
     def tell(self) -> None:
         """Lets every gateway hear of every other one."""
@@ -51,11 +51,11 @@
                 if other == name:
                     continue
                 left = window.remaining("pool", GATEWAYS, self.clock.now_ms())
-                peers._on_member(Member(other, ("10.0.0.1", 1)))
+                peers._add_member(Member(other, ("10.0.0.1", 1)))
                 tell(
                     peers,
                     other,
-                    TenureState.NONE,
+                    LeaseState.NONE,
                     repeats={"pool": int(left)},
                 )
 
