--- a/caroblug/transport/_engine.py
+++ b/caroblug/transport/_engine.py
@@ -10,7 +10,7 @@
 from caroblug.transport._http import HttpFailure, JsonHttpClient
 
 _OK = 200
-_CONNECTIONS = 32
+_MAX_CONNECTIONS = 32
 
 
 @attrs.frozen
@@ -117,15 +117,15 @@
     """An engine over HTTP and JSON."""
 
     def __init__(self, host: str, port: int, timeout_ms: int) -> None:
-        self._client = JsonHttpClient(host, port, timeout_ms, _CONNECTIONS)
+        self._client = JsonHttpClient(host, port, timeout_ms, _MAX_CONNECTIONS)
 
     def describe(self) -> EngineDescription | EngineFailure:
         """Returns what the engine says of itself."""
-        answer = self._client.request("GET", "/v1/engine")
-        if isinstance(answer, HttpFailure):
-            return EngineFailure(answer.message, not answer.timed_out)
+        response = self._client.request("GET", "/v1/engine")
+        if isinstance(response, HttpFailure):
+            return EngineFailure(response.message, not response.timed_out)
         try:
-            body = answer.json()
+            body = response.json()
             return EngineDescription(
                 **{
                     f.name: body[f.name]
@@ -143,14 +143,14 @@
             "items": [_encode_item(item) for item in items],
             "ended": list(ended),
         }
-        answer = self._client.request("POST", "/v1/run", body)
-        if isinstance(answer, HttpFailure):
-            crashed = answer.sent and not answer.timed_out
-            return EngineFailure(answer.message, crashed)
-        if answer.status != _OK:
-            return EngineFailure(f"status {answer.status}")
+        response = self._client.request("POST", "/v1/run", body)
+        if isinstance(response, HttpFailure):
+            crashed = response.sent and not response.timed_out
+            return EngineFailure(response.message, crashed)
+        if response.status != _OK:
+            return EngineFailure(f"status {response.status}")
         try:
-            return tuple(_decode_result(r) for r in answer.json()["results"])
+            return tuple(_decode_result(r) for r in response.json()["results"])
         except (KeyError, TypeError, ValueError):
             return EngineFailure("answer does not parse")
 
--- a/caroblug/transport/_engine_orders.py
+++ b/caroblug/transport/_engine_orders.py
@@ -42,12 +42,12 @@
 
     @abc.abstractmethod
     def order(
-        self, number: int, placement: Placement, ticket: str
+        self, fencing_number: int, placement: Placement, ticket: str
     ) -> OrderTaken | OrderFenced | OrderFailed:
         """Orders a whole state.
 
         Args:
-            number: Fences: engines that check refuse a lower one.
+            fencing_number: Fences: engines that check refuse a lower one.
             placement: The state; the same order twice changes nothing.
             ticket: Leave of the weight store; empty if there is none.
         """
@@ -61,28 +61,31 @@
 
     def state(self) -> Placement | OrderFailed:
         """Returns what the engine has loaded."""
-        answer = self._client.request("GET", "/v1/engine")
-        if isinstance(answer, HttpFailure):
-            return OrderFailed(answer.message)
+        response = self._client.request("GET", "/v1/engine")
+        if isinstance(response, HttpFailure):
+            return OrderFailed(response.message)
         try:
-            body = answer.json()
+            body = response.json()
             names = [f.name for f in attrs.fields(Placement)]
             return Placement(**{n: body[n] for n in names if n in body})
         except (AttributeError, KeyError, TypeError, ValueError):
             return OrderFailed("answer does not parse")
 
     def order(
-        self, number: int, placement: Placement, ticket: str
+        self, fencing_number: int, placement: Placement, ticket: str
     ) -> OrderTaken | OrderFenced | OrderFailed:
         """Orders a whole state."""
-        body = attrs.asdict(placement) | {"number": number, "ticket": ticket}
-        answer = self._client.request("POST", "/v1/orders", body)
-        if isinstance(answer, HttpFailure):
-            return OrderFailed(answer.message)
-        if answer.status == _CONFLICT:
+        body = attrs.asdict(placement) | {
+            "number": fencing_number,
+            "ticket": ticket,
+        }
+        response = self._client.request("POST", "/v1/orders", body)
+        if isinstance(response, HttpFailure):
+            return OrderFailed(response.message)
+        if response.status == _CONFLICT:
             return OrderFenced()
-        if answer.status != _OK:
-            return OrderFailed(f"status {answer.status}")
+        if response.status != _OK:
+            return OrderFailed(f"status {response.status}")
         return OrderTaken()
 
 
--- a/caroblug/transport/_framing.py
+++ b/caroblug/transport/_framing.py
@@ -21,12 +21,12 @@
 
 MAX_FRAME_BYTES = 16 * 1024 * 1024
 NONCE_BYTES = 16
-PROTOCOL = 1
-_CODE_BYTES = 16
+PROTOCOL_VERSION = 1
+_MAC_BYTES = 16
 _HEADER = struct.Struct(">I16s")
-_NUMBER = struct.Struct(">Q")
-_NO_CODE = bytes(_CODE_BYTES)
-_FACTORY = TCompactProtocolAcceleratedFactory(
+_SEQUENCE = struct.Struct(">Q")
+_EMPTY_MAC = bytes(_MAC_BYTES)
+_PROTOCOL_FACTORY = TCompactProtocolAcceleratedFactory(
     string_length_limit=MAX_FRAME_BYTES,
     container_length_limit=MAX_FRAME_BYTES,
     fallback=False,
@@ -42,40 +42,40 @@
 
     Args:
         key: Key of the connection.
-        direction: Instance that sends in this direction.
+        sender: Instance that sends in this direction.
     """
 
-    def __init__(self, key: bytes, direction: str) -> None:
-        self._base = hashlib.blake2b(
-            direction.encode(), key=key, digest_size=_CODE_BYTES
+    def __init__(self, key: bytes, sender: str) -> None:
+        self._keyed_hash = hashlib.blake2b(
+            sender.encode(), key=key, digest_size=_MAC_BYTES
         )
-        self._number = 0
+        self._next_number = 0
 
-    def code(self, payload: bytes) -> bytes:
+    def compute_mac(self, payload: bytes) -> bytes:
         """Returns the code of the next frame."""
-        state = self._base.copy()
-        state.update(_NUMBER.pack(self._number))
+        state = self._keyed_hash.copy()
+        state.update(_SEQUENCE.pack(self._next_number))
         state.update(payload)
-        self._number += 1
+        self._next_number += 1
         return state.digest()
 
-    def check(self, payload: bytes, code: bytes) -> None:
+    def verify(self, payload: bytes, mac: bytes) -> None:
         """Raises FrameError unless this is the next frame, untouched."""
-        if not hmac.compare_digest(self.code(payload), code):
+        if not hmac.compare_digest(self.compute_mac(payload), mac):
             raise FrameError("authentication code does not match")
 
 
-def derive_key(shared_key: bytes, first: wire.Hello, second: wire.Hello):
+def derive_key(shared_key: bytes, dialler: wire.Hello, acceptor: wire.Hello):
     """Returns the key of a connection.
 
     Args:
         shared_key: Key from the settings.
-        first: Hello of the end that dialled.
-        second: Hello of the end that accepted.
+        dialler: Hello of the end that dialled.
+        acceptor: Hello of the end that accepted.
     """
     state = hashlib.blake2b(key=shared_key)
-    for hello in (first, second):
-        state.update(serialize(hello, _FACTORY))
+    for hello in (dialler, acceptor):
+        state.update(serialize(hello, _PROTOCOL_FACTORY))
     return state.digest()
 
 
@@ -96,29 +96,29 @@
     header = read_exactly(sock, _HEADER.size)
     if header is None:
         return None
-    length, code = _HEADER.unpack(header)
+    length, mac = _HEADER.unpack(header)
     if length > MAX_FRAME_BYTES:
         raise FrameError(f"frame of {length} bytes is over the limit")
     payload = read_exactly(sock, length)
     if payload is None:
         return None
-    return payload, code
+    return payload, mac
 
 
-def pack_payload(payload: bytes, code: bytes = _NO_CODE) -> bytes:
+def pack_payload(payload: bytes, mac: bytes = _EMPTY_MAC) -> bytes:
     """Returns the bytes of a frame on the wire."""
-    return _HEADER.pack(len(payload), code) + payload
+    return _HEADER.pack(len(payload), mac) + payload
 
 
 def encode(message: object) -> bytes:
     """Returns a thrift struct as compact bytes."""
-    return serialize(message, _FACTORY)
+    return serialize(message, _PROTOCOL_FACTORY)
 
 
 def decode(cls: type, payload: bytes):
     """Returns the thrift struct of class `cls`; raises FrameError."""
     try:
-        return deserialize(cls(), payload, _FACTORY)
+        return deserialize(cls(), payload, _PROTOCOL_FACTORY)
     except (TException, TProtocolException, EOFError, ValueError) as error:
         raise FrameError(f"frame does not decode: {error}") from error
     except (TypeError, OverflowError, UnicodeDecodeError) as error:
--- a/caroblug/transport/_http.py
+++ b/caroblug/transport/_http.py
@@ -10,7 +10,7 @@
 from geventhttpclient.response import HTTPParseError
 
 _JSON_HEADERS = {"Content-Type": "application/json"}
-_HttpErrors = (OSError, http.client.HTTPException, ValueError)
+_HTTP_ERRORS = (OSError, http.client.HTTPException, ValueError)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -92,7 +92,7 @@
             return HttpFailure(str(error), sent=False)
         except (OSError, HTTPParseError, ValueError) as error:
             return HttpFailure(
-                _describe(error),
+                _format_error(error),
                 sent=True,
                 timed_out=isinstance(error, TimeoutError),
             )
@@ -133,9 +133,9 @@
     connection = http.client.HTTPConnection(host, port, timeout_ms / 1000)
     try:
         connection.connect()
-    except _HttpErrors as error:
+    except _HTTP_ERRORS as error:
         connection.close()
-        return HttpFailure(_describe(error), sent=False)
+        return HttpFailure(_format_error(error), sent=False)
     try:
         if not may_send():
             return HttpFailure("the time to call has passed", sent=False)
@@ -145,11 +145,11 @@
         return HttpResponse(
             response.status, content, tuple(response.getheaders())
         )
-    except _HttpErrors as error:
-        return HttpFailure(_describe(error), sent=True)
+    except _HTTP_ERRORS as error:
+        return HttpFailure(_format_error(error), sent=True)
     finally:
         connection.close()
 
 
-def _describe(error: Exception) -> str:
+def _format_error(error: Exception) -> str:
     return str(error) or type(error).__name__
--- a/caroblug/transport/_instances.py
+++ b/caroblug/transport/_instances.py
@@ -61,11 +61,11 @@
 
     def fetch(self) -> tuple[InstanceRecord, ...] | InstancesUnavailable:
         """Returns every listed instance."""
-        answer = self._client.request("GET", "/instances")
-        if isinstance(answer, HttpFailure):
-            return InstancesUnavailable(answer.message)
-        if answer.status != _OK:
-            return InstancesUnavailable(f"status {answer.status}")
+        response = self._client.request("GET", "/instances")
+        if isinstance(response, HttpFailure):
+            return InstancesUnavailable(response.message)
+        if response.status != _OK:
+            return InstancesUnavailable(f"status {response.status}")
         try:
             return tuple(
                 InstanceRecord(
@@ -77,7 +77,7 @@
                     i["state"] == _LEAVING,
                     int(i.get("http_port", 0)),
                 )
-                for i in answer.json()["instances"]
+                for i in response.json()["instances"]
             )
         except (KeyError, TypeError, ValueError):
             return InstancesUnavailable("answer does not parse")
@@ -85,11 +85,11 @@
     def withdraw(self, instance: str) -> InstancesUnavailable | None:
         """Lists an instance as leaving."""
         body = {"instance": instance, "state": _LEAVING}
-        answer = self._client.request("POST", "/instances", body)
-        if isinstance(answer, HttpFailure):
-            return InstancesUnavailable(answer.message)
-        if answer.status != _OK:
-            return InstancesUnavailable(f"status {answer.status}")
+        response = self._client.request("POST", "/instances", body)
+        if isinstance(response, HttpFailure):
+            return InstancesUnavailable(response.message)
+        if response.status != _OK:
+            return InstancesUnavailable(f"status {response.status}")
         return None
 
 
--- a/caroblug/transport/_links.py
+++ b/caroblug/transport/_links.py
@@ -27,7 +27,7 @@
     Attributes:
         sock: The connection's socket.
         peer: What the other end says of itself.
-        their_session: The session that the other end named.
+        peer_session: The session that the other end named.
         wake: Set when there is something to write.
         resend: Whether unacknowledged frames go first.
         received_ms: When a frame last arrived.
@@ -37,31 +37,31 @@
     def __init__(
         self,
         sock: socket.socket,
-        theirs: wire.Hello,
-        sender: framing.FrameAuthenticator,
-        checker: framing.FrameAuthenticator,
+        peer_hello: wire.Hello,
+        outgoing: framing.FrameAuthenticator,
+        incoming: framing.FrameAuthenticator,
         now_ms: int,
     ) -> None:
         self.peer = PeerAddress(
-            theirs.instance,
-            theirs.host,
-            theirs.port,
-            theirs.role,
-            theirs.data_centre,
+            peer_hello.instance,
+            peer_hello.host,
+            peer_hello.port,
+            peer_hello.role,
+            peer_hello.data_centre,
         )
-        self.their_session = theirs.session
+        self.peer_session = peer_hello.session
         self.wake = event.Event()
         self.resend = True
         self.received_ms = now_ms
         self.closed = False
         self.sock = sock
-        self._sender = sender
-        self._checker = checker
+        self._outgoing = outgoing
+        self._incoming = incoming
 
     def write(self, payload: bytes) -> None:
         """Sends a payload; raises OSError."""
         self.sock.sendall(
-            framing.pack_payload(payload, self._sender.code(payload))
+            framing.pack_payload(payload, self._outgoing.compute_mac(payload))
         )
 
     def read(self) -> bytes | None:
@@ -69,7 +69,7 @@
         received = framing.read_payload(self.sock)
         if received is None:
             return None
-        self._checker.check(*received)
+        self._incoming.verify(*received)
         return received[0]
 
     def close(self) -> None:
@@ -79,26 +79,26 @@
         self.sock.close()
 
 
-def greet(
-    sock: socket.socket, mine: wire.Hello, shared_key: bytes, now_ms: int
+def handshake_as_dialler(
+    sock: socket.socket, own_hello: wire.Hello, shared_key: bytes, now_ms: int
 ) -> Link:
     """Does the handshake of the end that dialled, up to its own proof.
 
-    The proof is sent by `prove`, so that the caller can look at the other
+    The proof is sent by `send_proof`, so that the caller can look at the other
     end's session first. Raises FrameError or OSError.
     """
-    _prepare(sock)
-    mine = _with_nonce(mine)
-    sock.sendall(framing.pack_payload(framing.encode(mine)))
-    theirs = _read_hello(sock, mine)
-    key = framing.derive_key(shared_key, mine, theirs)
-    link = _make_link(sock, mine, theirs, key, now_ms)
+    _configure_socket(sock)
+    own_hello = _add_nonce(own_hello)
+    sock.sendall(framing.pack_payload(framing.encode(own_hello)))
+    peer_hello = _read_hello(sock, own_hello)
+    key = framing.derive_key(shared_key, own_hello, peer_hello)
+    link = _make_link(sock, own_hello, peer_hello, key, now_ms)
     if link.read() is None:
         raise framing.FrameError("peer closed in the handshake")
     return link
 
 
-def answer(
+def handshake_as_acceptor(
     sock: socket.socket,
     make_hello: Callable[[wire.Hello], wire.Hello],
     shared_key: bytes,
@@ -115,62 +115,67 @@
         shared_key: Key by which processes prove themselves.
         now_ms: The time.
     """
-    _prepare(sock)
-    theirs = _read_hello(sock, None)
-    mine = _with_nonce(make_hello(theirs))
-    if theirs.instance == mine.instance:
+    _configure_socket(sock)
+    peer_hello = _read_hello(sock, None)
+    own_hello = _add_nonce(make_hello(peer_hello))
+    if peer_hello.instance == own_hello.instance:
         raise framing.FrameError("peer has this instance's name")
-    sock.sendall(framing.pack_payload(framing.encode(mine)))
-    key = framing.derive_key(shared_key, theirs, mine)
-    link = _make_link(sock, mine, theirs, key, now_ms)
-    prove(link)
+    sock.sendall(framing.pack_payload(framing.encode(own_hello)))
+    key = framing.derive_key(shared_key, peer_hello, own_hello)
+    link = _make_link(sock, own_hello, peer_hello, key, now_ms)
+    send_proof(link)
     if link.read() is None:
         raise framing.FrameError("peer closed in the handshake")
     return link
 
 
-def prove(link: Link) -> None:
+def send_proof(link: Link) -> None:
     """Sends the first sealed frame, which shows knowledge of the key."""
     link.write(framing.encode(wire.Frame()))
 
 
-def _prepare(sock: socket.socket) -> None:
+def _configure_socket(sock: socket.socket) -> None:
     sock.settimeout(None)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
 
-def _with_nonce(hello: wire.Hello) -> wire.Hello:
+def _add_nonce(hello: wire.Hello) -> wire.Hello:
     return wire.Hello(
         hello.instance,
         hello.role,
         hello.data_centre,
         secrets.token_bytes(framing.NONCE_BYTES),
-        framing.PROTOCOL,
+        framing.PROTOCOL_VERSION,
         hello.host,
         hello.port,
         hello.session,
     )
 
 
-def _read_hello(sock: socket.socket, mine: wire.Hello | None) -> wire.Hello:
+def _read_hello(
+    sock: socket.socket, own_hello: wire.Hello | None
+) -> wire.Hello:
     received = framing.read_payload(sock)
     if received is None:
         raise framing.FrameError("peer closed in the handshake")
-    theirs = framing.decode(wire.Hello, received[0])
-    if theirs.protocol != framing.PROTOCOL or not theirs.instance:
+    peer_hello = framing.decode(wire.Hello, received[0])
+    if (
+        peer_hello.protocol != framing.PROTOCOL_VERSION
+        or not peer_hello.instance
+    ):
         raise framing.FrameError("another protocol")
-    if mine is not None and theirs.instance == mine.instance:
+    if own_hello is not None and peer_hello.instance == own_hello.instance:
         raise framing.FrameError("peer has this instance's name")
-    return theirs
+    return peer_hello
 
 
 def _make_link(
     sock: socket.socket,
-    mine: wire.Hello,
-    theirs: wire.Hello,
+    own_hello: wire.Hello,
+    peer_hello: wire.Hello,
     key: bytes,
     now_ms: int,
 ) -> Link:
-    sender = framing.FrameAuthenticator(key, mine.instance)
-    checker = framing.FrameAuthenticator(key, theirs.instance)
-    return Link(sock, theirs, sender, checker, now_ms)
+    outgoing = framing.FrameAuthenticator(key, own_hello.instance)
+    incoming = framing.FrameAuthenticator(key, peer_hello.instance)
+    return Link(sock, peer_hello, outgoing, incoming, now_ms)
--- a/caroblug/transport/_log.py
+++ b/caroblug/transport/_log.py
@@ -11,7 +11,7 @@
 
 _CREATED = 201
 _OK = 200
-_READ_SLACK_MS = 2000
+_LONG_POLL_SLACK_MS = 2000
 
 
 @attrs.frozen
@@ -84,32 +84,34 @@
     """
 
     def __init__(self, host: str, port: int, timeout_ms: int) -> None:
-        self._short = JsonHttpClient(host, port, timeout_ms)
-        self._waiting = JsonHttpClient(host, port, timeout_ms + _READ_SLACK_MS)
+        self._client = JsonHttpClient(host, port, timeout_ms)
+        self._long_poll_client = JsonHttpClient(
+            host, port, timeout_ms + _LONG_POLL_SLACK_MS
+        )
 
     def append(self, stream: str, data: bytes) -> Appended | LogUnavailable:
         """Appends one record."""
         body = {"data": base64.b64encode(data).decode()}
-        answer = self._short.request("POST", f"/streams/{stream}", body)
-        if isinstance(answer, HttpFailure):
-            return LogUnavailable(answer.message, maybe_written=answer.sent)
-        if answer.status != _CREATED:
-            return LogUnavailable(f"status {answer.status}")
-        return Appended(int(answer.json()["offset"]))
+        response = self._client.request("POST", f"/streams/{stream}", body)
+        if isinstance(response, HttpFailure):
+            return LogUnavailable(response.message, maybe_written=response.sent)
+        if response.status != _CREATED:
+            return LogUnavailable(f"status {response.status}")
+        return Appended(int(response.json()["offset"]))
 
     def read(
         self, stream: str, offset: int, limit: int = 100, wait_ms: int = 0
     ) -> RecordBatch | LogUnavailable:
         """Reads from `offset`."""
-        client = self._waiting if wait_ms else self._short
+        client = self._long_poll_client if wait_ms else self._client
         path = f"/streams/{stream}?offset={offset}&limit={limit}"
-        answer = client.request("GET", f"{path}&wait_ms={wait_ms}")
-        if isinstance(answer, HttpFailure):
-            return LogUnavailable(answer.message)
-        if answer.status != _OK:
-            return LogUnavailable(f"status {answer.status}")
+        response = client.request("GET", f"{path}&wait_ms={wait_ms}")
+        if isinstance(response, HttpFailure):
+            return LogUnavailable(response.message)
+        if response.status != _OK:
+            return LogUnavailable(f"status {response.status}")
         try:
-            return _parse_records(answer.json())
+            return _parse_records(response.json())
         except (KeyError, TypeError, ValueError, orjson.JSONDecodeError):
             return LogUnavailable("answer does not parse")
 
--- a/caroblug/transport/_pause_detector.py
+++ b/caroblug/transport/_pause_detector.py
@@ -9,31 +9,35 @@
     Args:
         clock: Source of time.
         tick_ms: Time between ticks.
-        short_ms: Lateness of a tick that counts as a pause.
-        long_ms: Time without a tick after which peers may have given this
+        short_pause_ms: Lateness of a tick that counts as a pause.
+        long_pause_ms: Time without a tick after which peers may have given this
             process up.
     """
 
     def __init__(
-        self, clock: Clock, tick_ms: int, short_ms: int, long_ms: int
+        self,
+        clock: Clock,
+        tick_ms: int,
+        short_pause_ms: int,
+        long_pause_ms: int,
     ) -> None:
         self._clock = clock
-        self._late_ms = tick_ms + short_ms
-        self._long_ms = long_ms
-        self._ticked_ms = clock.now_ms()
+        self._short_limit_ms = tick_ms + short_pause_ms
+        self._long_limit_ms = long_pause_ms
+        self._last_tick_ms = clock.now_ms()
 
     @property
-    def since_ms(self) -> int:
+    def elapsed_ms(self) -> int:
         """Time since the last tick."""
-        return self._clock.now_ms() - self._ticked_ms
+        return self._clock.now_ms() - self._last_tick_ms
 
     @property
-    def short(self) -> bool:
+    def is_short_pause(self) -> bool:
         """Whether the next tick is late."""
-        return self.since_ms > self._late_ms
+        return self.elapsed_ms > self._short_limit_ms
 
     @property
-    def long(self) -> bool:
+    def is_long_pause(self) -> bool:
         """Whether peers may have given this process up meanwhile.
 
         Guards against frames from before a pause, in which the peers may
@@ -42,8 +46,8 @@
         peer sends again what it still wants to be read, or says that it has
         lost the session.
         """
-        return self.since_ms > self._long_ms
+        return self.elapsed_ms > self._long_limit_ms
 
     def tick(self) -> None:
         """Notes a tick."""
-        self._ticked_ms = self._clock.now_ms()
+        self._last_tick_ms = self._clock.now_ms()
--- a/caroblug/transport/_peers.py
+++ b/caroblug/transport/_peers.py
@@ -19,16 +19,16 @@
 from caroblug.transport._handler import PeerHandler
 from caroblug.transport._links import Link, PeerAddress
 from caroblug.transport._pause_detector import PauseDetector
-from caroblug.transport._sessions import FORGOTTEN, Session, SessionTiming
+from caroblug.transport._sessions import SESSION_UNKNOWN, Session, SessionTiming
 from caroblug.utils import Clock, Metrics, log_state
 
 _DIAL_TIMEOUT_MS = 1000
 _HANDSHAKE_TIMEOUT_S = 5.0
 _MAX_OUTBOX_MESSAGES = 100_000
 _TICK_MS = 50
-_PAUSE_MS = 150
+_SHORT_PAUSE_MS = 150
 _MS_PER_S = 1000
-_PAUSED = "this process was paused"
+_PAUSED_REASON = "this process was paused"
 
 
 class PeerNetwork:
@@ -59,11 +59,14 @@
         self._metrics = metrics
         self._timing = timing
         self._sessions: dict[str, Session] = {}
-        self._watched: collections.Counter[str] = collections.Counter()
+        self._in_flight: collections.Counter[str] = collections.Counter()
         self._server: server.StreamServer | None = None
         self._stopped = False
-        self._pauses = PauseDetector(
-            clock, _TICK_MS, _PAUSE_MS, timing.silence_ms + timing.probe_ms
+        self._pause_detector = PauseDetector(
+            clock,
+            _TICK_MS,
+            _SHORT_PAUSE_MS,
+            timing.silence_ms + timing.probe_ms,
         )
 
     @property
@@ -101,9 +104,9 @@
         Heartbeats are frequent, and silence is noticed soon, only while the
         count is above zero: idle connections must stay cheap.
         """
-        self._watched[instance] += change
-        if self._watched[instance] <= 0:
-            del self._watched[instance]
+        self._in_flight[instance] += change
+        if self._in_flight[instance] <= 0:
+            del self._in_flight[instance]
 
     def send(self, to: PeerAddress, *messages: object) -> None:
         """Queues messages for a peer, dialling it if need be.
@@ -122,7 +125,7 @@
         """Ends the session with a peer that is not needed now."""
         session = self._sessions.get(instance)
         if session is not None:
-            self._lose(session, "not needed")
+            self._end_session(session, "not needed")
 
     def broadcast(self, role: str, *messages: object) -> None:
         """Queues messages for every connected peer of a role."""
@@ -133,7 +136,7 @@
     def _queue(self, session: Session, messages: tuple[object, ...]) -> None:
         session.queue(*messages)
         if len(session.outbox) > _MAX_OUTBOX_MESSAGES:
-            self._lose(session, "outbox full")
+            self._end_session(session, "outbox full")
 
     def _begin_dial(self, session: Session) -> None:
         if not session.dialling and not self._stopped:
@@ -151,7 +154,7 @@
         older = list(session.links)
         link = self._connect(session)
         session.dialling = False
-        if self._sessions.get(session.to.instance) is not session:
+        if self._sessions.get(session.peer.instance) is not session:
             if isinstance(link, Link):
                 link.close()
             return
@@ -159,43 +162,44 @@
             now_ms = self._clock.now_ms()
             waited_ms = session.delivery.waited_ms(now_ms)
             slow = waited_ms < now_ms - before_ms
-            if session.links and slow and link != FORGOTTEN:
+            if session.links and slow and link != SESSION_UNKNOWN:
                 return
-            self._lose(session, link)
+            self._end_session(session, link)
             return
         self._metrics.count("links_dialled")
         session.add_rtt((self._clock.now_ms() - before_ms) / 2)
-        self._add(session, link)
+        self._attach_link(session, link)
         for old in older:
-            self._drop(session, old, "replaced")
-        self._read(session, link)
+            self._drop_link(session, old, "replaced")
+        self._read_forever(session, link)
 
     def _connect(self, session: Session) -> Link | str:
         """Returns a proved connection, or why there is none."""
         sock = None
         timeout = gevent.Timeout(
-            self._dial_ms(session) / _MS_PER_S, TimeoutError("no answer")
+            self._dial_timeout_ms(session) / _MS_PER_S,
+            TimeoutError("no answer"),
         )
         try:
             with timeout:
                 sock = socket.create_connection(
-                    (session.to.host, session.to.port)
+                    (session.peer.host, session.peer.port)
                 )
-                link = _links.greet(
+                link = _links.handshake_as_dialler(
                     sock,
-                    session.hello_from(self._hello),
+                    session.make_hello(self._hello),
                     self._shared_key,
                     self._clock.now_ms(),
                 )
-                session.check(link)
-                _links.prove(link)
+                session.verify_link(link)
+                _links.send_proof(link)
                 return link
         except (OSError, framing.FrameError) as error:
             if sock is not None:
                 sock.close()
             return str(error)
 
-    def _dial_ms(self, session: Session) -> float:
+    def _dial_timeout_ms(self, session: Session) -> float:
         if not session.is_up:
             return _DIAL_TIMEOUT_MS
         return self._timing.probe_ms + 4 * session.rtt_ms
@@ -211,20 +215,28 @@
         known: Session | None = None
         session: Session | None = None
 
-        def _choose(theirs: wire.Hello) -> wire.Hello:
+        def _choose_session(peer_hello: wire.Hello) -> wire.Hello:
             nonlocal known, session
-            known = self._sessions.get(theirs.instance)
+            known = self._sessions.get(peer_hello.instance)
             session = known
-            if known is None or known.their_id not in ("", theirs.session):
-                to = PeerAddress(theirs.instance, theirs.host, theirs.port)
-                session = Session(to, theirs.session, self._clock.now_ms())
-            return session.hello_from(self._hello)
+            if known is None or known.peer_session_id not in (
+                "",
+                peer_hello.session,
+            ):
+                to = PeerAddress(
+                    peer_hello.instance, peer_hello.host, peer_hello.port
+                )
+                session = Session(to, peer_hello.session, self._clock.now_ms())
+            return session.make_hello(self._hello)
 
         timeout = gevent.Timeout(_HANDSHAKE_TIMEOUT_S, TimeoutError("slow"))
         try:
             with timeout:
-                link = _links.answer(
-                    sock, _choose, self._shared_key, self._clock.now_ms()
+                link = _links.handshake_as_acceptor(
+                    sock,
+                    _choose_session,
+                    self._shared_key,
+                    self._clock.now_ms(),
                 )
         except (OSError, framing.FrameError):
             self._metrics.count("peers_refused")
@@ -235,27 +247,27 @@
             return
         if session is not known:
             if known is not None:
-                self._lose(known, "peer has begun a new session")
+                self._end_session(known, "peer has begun a new session")
             self._sessions[link.peer.instance] = session
-        self._add(session, link)
-        self._read(session, link)
+        self._attach_link(session, link)
+        self._read_forever(session, link)
 
-    def _add(self, session: Session, link: Link) -> None:
+    def _attach_link(self, session: Session, link: Link) -> None:
         first, session.is_up = not session.is_up, True
-        session.their_id = link.their_session
-        session.to = attrs.evolve(
-            session.to,
+        session.peer_session_id = link.peer_session
+        session.peer = attrs.evolve(
+            session.peer,
             role=link.peer.role,
             data_centre=link.peer.data_centre,
         )
         session.links.append(link)
         session.restart_wait(self._clock.now_ms())
         link.wake.set()
-        gevent.spawn(self._write, session, link)
+        gevent.spawn(self._write_forever, session, link)
         if first:
             self._handler.on_peer_up(link.peer)
 
-    def _read(self, session: Session, link: Link) -> None:
+    def _read_forever(self, session: Session, link: Link) -> None:
         reason = "closed by peer"
         try:
             while True:
@@ -268,12 +280,12 @@
             reason = str(error)
         except OSError as error:
             reason = str(error)
-        self._drop(session, link, reason)
+        self._drop_link(session, link, reason)
 
     def _on_payload(self, session: Session, link: Link, payload: bytes) -> None:
         now_ms = self._clock.now_ms()
-        if self._pauses.long:
-            raise framing.FrameError(_PAUSED)
+        if self._pause_detector.is_long_pause:
+            raise framing.FrameError(_PAUSED_REASON)
         frame = framing.decode(wire.Frame, payload)
         self._metrics.count("frames_received")
         link.received_ms = now_ms
@@ -282,16 +294,16 @@
         for due in session.on_frame(frame, now_ms):
             self._handler.on_frame(link.peer, due)
 
-    def _write(self, session: Session, link: Link) -> None:
+    def _write_forever(self, session: Session, link: Link) -> None:
         try:
             while not link.closed:
                 link.wake.wait()
                 link.wake.clear()
-                self._write_waiting(session, link)
+                self._write_pending(session, link)
         except OSError as error:
-            self._drop(session, link, f"send failed: {error}")
+            self._drop_link(session, link, f"send failed: {error}")
 
-    def _write_waiting(self, session: Session, link: Link) -> None:
+    def _write_pending(self, session: Session, link: Link) -> None:
         if link.resend:
             link.resend = False
             for payload in session.delivery.unacknowledged(
@@ -308,19 +320,22 @@
             self._metrics.count("frame_bytes_sent", len(payload))
 
     def _tick_forever(self) -> None:
-        self._pauses.tick()
+        self._pause_detector.tick()
         while True:
             gevent.sleep(_TICK_MS / _MS_PER_S)
             now_ms = self._clock.now_ms()
-            short, long = self._pauses.short, self._pauses.long
-            self._pauses.tick()
+            short, long = (
+                self._pause_detector.is_short_pause,
+                self._pause_detector.is_long_pause,
+            )
+            self._pause_detector.tick()
             for session in list(self._sessions.values()):
                 if short:
-                    self._after_pause(session, now_ms, long=long)
+                    self._resume_after_pause(session, now_ms, long=long)
                 elif session.links:
                     self._tick(session, now_ms)
 
-    def _after_pause(
+    def _resume_after_pause(
         self, session: Session, now_ms: int, *, long: bool
     ) -> None:
         """Makes up for a pause of this process, short or long.
@@ -331,15 +346,15 @@
         session.restart_wait(now_ms)
         if long:
             for link in list(session.links):
-                self._drop(session, link, _PAUSED)
+                self._drop_link(session, link, _PAUSED_REASON)
 
     def _tick(self, session: Session, now_ms: int) -> None:
         if session.delivery.over_limit:
-            self._lose(session, "too much unacknowledged")
+            self._end_session(session, "too much unacknowledged")
             return
         suspected = session.tick(
             self._timing,
-            watched=session.to.instance in self._watched,
+            in_flight=session.peer.instance in self._in_flight,
             now_ms=now_ms,
         )
         if suspected and not session.dialling:
@@ -347,19 +362,19 @@
             self._begin_dial(session)
         for link in session.links[:-1]:
             if now_ms - link.received_ms > self._timing.idle_heartbeat_ms:
-                self._drop(session, link, "superseded")
+                self._drop_link(session, link, "superseded")
 
-    def _drop(self, session: Session, link: Link, reason: str) -> None:
+    def _drop_link(self, session: Session, link: Link, reason: str) -> None:
         """Ends a connection and goes on with another, or dials one."""
         link.close()
         if link not in session.links:
             return
         was_current = session.current is link
         session.links.remove(link)
-        if self._sessions.get(session.to.instance) is not session:
+        if self._sessions.get(session.peer.instance) is not session:
             return
         self._metrics.count("links_dropped")
-        log_state("peer.link", peer=session.to.instance, reason=reason)
+        log_state("peer.link", peer=session.peer.instance, reason=reason)
         if session.current is None:
             self._begin_dial(session)
             return
@@ -367,16 +382,16 @@
             session.current.resend = True
             session.current.wake.set()
 
-    def _lose(self, session: Session, reason: str) -> None:
-        if self._sessions.get(session.to.instance) is not session:
+    def _end_session(self, session: Session, reason: str) -> None:
+        if self._sessions.get(session.peer.instance) is not session:
             return
-        del self._sessions[session.to.instance]
+        del self._sessions[session.peer.instance]
         for link in session.links:
             link.close()
         session.links.clear()
-        log_state("peer.lost", peer=session.to.instance, reason=reason)
+        log_state("peer.lost", peer=session.peer.instance, reason=reason)
         self._metrics.count("peers_lost")
-        self._handler.on_peer_lost(session.to, reason)
+        self._handler.on_peer_lost(session.peer, reason)
 
 
 def make_peer_network(
--- a/caroblug/transport/_weight_store.py
+++ b/caroblug/transport/_weight_store.py
@@ -7,7 +7,7 @@
 from caroblug.transport._http import HttpFailure, HttpResponse, JsonHttpClient
 
 _CREATED = 201
-_TOO_MANY = 429
+_TOO_MANY_REQUESTS = 429
 _MS_PER_S = 1000
 _DEFAULT_RETRY_S = 1.0
 
@@ -65,22 +65,22 @@
     def reserve(self, model: str, version: str, adapter: str) -> Reservation:
         """Asks for leave to load weights."""
         body = {"model": model, "version": version, "adapter": adapter}
-        answer = self._client.request("POST", "/v1/loads", body)
-        if isinstance(answer, HttpFailure):
-            return WeightsUnavailable(answer.message)
-        if answer.status == _TOO_MANY:
-            return WeightsBusy(_retry_after_ms(answer))
-        if answer.status != _CREATED:
-            return WeightsUnavailable(f"status {answer.status}")
+        response = self._client.request("POST", "/v1/loads", body)
+        if isinstance(response, HttpFailure):
+            return WeightsUnavailable(response.message)
+        if response.status == _TOO_MANY_REQUESTS:
+            return WeightsBusy(_retry_after_ms(response))
+        if response.status != _CREATED:
+            return WeightsUnavailable(f"status {response.status}")
         try:
-            return Reserved(str(answer.json()["ticket"]))
+            return Reserved(str(response.json()["ticket"]))
         except (KeyError, TypeError, ValueError):
             return WeightsUnavailable("answer does not parse")
 
 
-def _retry_after_ms(answer: HttpResponse) -> int:
+def _retry_after_ms(response: HttpResponse) -> int:
     seconds = _DEFAULT_RETRY_S
-    for name, value in answer.headers:
+    for name, value in response.headers:
         if name.lower() == "retry-after":
             try:
                 seconds = float(value)
