--- a/caroblug/transport/__init__.py
+++ b/caroblug/transport/__init__.py
@@ -1,4 +1,4 @@
-"""Sockets and timers: peers by thrift, outside systems by HTTP."""
+"""Peer sessions over thrift, and clients of external systems over HTTP."""
 
 from caroblug.transport._engine import (
     EngineClient,
--- a/caroblug/transport/_engine.py
+++ b/caroblug/transport/_engine.py
@@ -1,4 +1,4 @@
-"""A model engine, as its side process sees it."""
+"""Client of a model engine over HTTP and JSON."""
 
 import abc
 import binascii
@@ -15,15 +15,15 @@
 
 @attrs.frozen
 class EngineDescription:
-    """What an engine says of itself.
+    """The model, layers and capacity that an engine reports.
 
     Attributes:
-        model: The model it serves.
-        first_layer: First layer it holds.
-        end_layer: One past the last layer it holds.
-        layers: Layers of the whole model.
-        tokens_per_s: Its capacity over the layers it holds.
-        batch: Positions it takes in one batch.
+        model: Name of the served model.
+        first_layer: First loaded layer.
+        end_layer: One past the last loaded layer.
+        layers: Number of layers of the whole model.
+        tokens_per_s: Throughput of the loaded layers.
+        batch: Maximum number of positions in one batch.
     """
 
     model: str
@@ -36,19 +36,21 @@
 
 @attrs.define
 class EngineItem:
-    """Consecutive positions of one stream to run.
+    """Consecutive positions of one stream to run in one batch.
 
-    Not frozen, as one is made for every step and a frozen one costs three
-    times as much; it is not changed all the same.
+    An item is created for every step, and creating a frozen instance takes
+    three times as long. The class is therefore not frozen, but instances are
+    treated as immutable.
 
     Attributes:
-        session: Identity of the stream at the engine.
+        session: Identifier of the stream at the engine.
         first_layer: First layer to run.
         end_layer: One past the last layer to run.
         position: First position.
         inputs: Tokens for layer 0, hidden states for the others.
-        seed: Seed of the stream's sampling.
-        priority: Lower runs first, where the engine honours it.
+        seed: Sampling seed of the stream.
+        priority: Scheduling priority; lower values run first on engines that
+            support priorities.
     """
 
     session: str
@@ -62,15 +64,17 @@
 
 @attrs.define
 class EngineResult:
-    """What the engine answers for an item.
+    """The result of one item of a batch.
 
     Attributes:
-        session: Identity of the stream.
+        session: Identifier of the stream at the engine.
         position: First position.
-        length: Positions that were run.
-        states: One hidden state per position; empty after the last layer.
-        token: Sampled after the last layer of the last position, else -1.
-        error: Empty, or why this item was not run.
+        length: Number of positions that were run.
+        states: One hidden state per position; empty if the last layer was
+            run.
+        token: Token sampled after the last position; -1 if the last layer
+            was not run.
+        error: Why the item was not run; empty if it was.
     """
 
     session: str
@@ -83,11 +87,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineFailure:
-    """The engine gave no answer.
+    """A failed call to an engine.
 
     Attributes:
-        message: What was seen.
-        crashed: Whether it is gone, rather than silent or unwilling.
+        message: Description of the failure.
+        crashed: Whether the connection failed, which suggests a crash, rather
+            than a timeout or a refusal.
     """
 
     message: str
@@ -95,11 +100,11 @@
 
 
 class EngineClient(abc.ABC):
-    """A client of one engine."""
+    """Interface of a client of one engine."""
 
     @abc.abstractmethod
     def describe(self) -> EngineDescription | EngineFailure:
-        """Returns what the engine says of itself."""
+        """Returns the description that the engine reports of itself."""
 
     @abc.abstractmethod
     def run(
@@ -108,19 +113,22 @@
         """Runs a batch.
 
         Args:
-            items: What to run; positions of a session in order.
-            ended: Sessions whose KV cache may be freed.
+            items: Items to run; the positions of a session are in order.
+            ended: Sessions whose KV cache the engine may free.
+
+        Returns:
+            One result per item, or why the call failed.
         """
 
 
 class HttpEngineClient(EngineClient):
-    """An engine over HTTP and JSON."""
+    """An engine client over HTTP and JSON."""
 
     def __init__(self, host: str, port: int, timeout_ms: int) -> None:
         self._client = JsonHttpClient(host, port, timeout_ms, _MAX_CONNECTIONS)
 
     def describe(self) -> EngineDescription | EngineFailure:
-        """Returns what the engine says of itself."""
+        """Returns the description that the engine reports of itself."""
         response = self._client.request("GET", "/v1/engine")
         if isinstance(response, HttpFailure):
             return EngineFailure(response.message, not response.timed_out)
@@ -133,7 +141,7 @@
                 }
             )
         except (KeyError, TypeError, ValueError):
-            return EngineFailure("answer does not parse")
+            return EngineFailure("response is not valid")
 
     def run(
         self, items: Sequence[EngineItem], ended: Sequence[str]
@@ -152,7 +160,7 @@
         try:
             return tuple(_decode_result(r) for r in response.json()["results"])
         except (KeyError, TypeError, ValueError):
-            return EngineFailure("answer does not parse")
+            return EngineFailure("response is not valid")
 
 
 def _encode_item(item: EngineItem) -> dict:
--- a/caroblug/transport/_engine_orders.py
+++ b/caroblug/transport/_engine_orders.py
@@ -1,4 +1,7 @@
-"""Orders to a model engine: absolute states, fenced by a number."""
+"""Client for ordering a model engine to load weights.
+
+An order names the complete state to load and carries a fencing number.
+"""
 
 import abc
 import dataclasses
@@ -14,53 +17,55 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OrderTaken:
-    """The engine has done the order, or had done it before."""
+    """The engine has the ordered state, now or from an earlier order."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OrderFenced:
-    """The engine knows a higher number; nothing was changed."""
+    """The engine has seen a higher fencing number and changed nothing."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OrderFailed:
-    """There was no good answer; the order may have been done.
+    """The call failed; the order may have been carried out.
 
     Attributes:
-        message: What was seen.
+        message: Description of the failure.
     """
 
     message: str
 
 
 class EngineOrderClient(abc.ABC):
-    """Orders of one engine."""
+    """Interface of a client that sends orders to one engine."""
 
     @abc.abstractmethod
     def state(self) -> Placement | OrderFailed:
-        """Returns what the engine has loaded."""
+        """Returns the state that the engine has loaded."""
 
     @abc.abstractmethod
     def order(
         self, fencing_number: int, placement: Placement, ticket: str
     ) -> OrderTaken | OrderFenced | OrderFailed:
-        """Orders a whole state.
+        """Orders the engine to load a state.
 
         Args:
-            fencing_number: Fences: engines that check refuse a lower one.
-            placement: The state; the same order twice changes nothing.
-            ticket: Leave of the weight store; empty if there is none.
+            fencing_number: Number of the lease. An engine that checks it
+                refuses an order with a lower number than it has seen.
+            placement: The complete state to load. Sending the same order
+                twice changes nothing.
+            ticket: Ticket of the weight store; empty if there is no store.
         """
 
 
 class HttpEngineOrderClient(EngineOrderClient):
-    """Orders over HTTP and JSON."""
+    """An engine order client over HTTP and JSON."""
 
     def __init__(self, host: str, port: int, timeout_ms: int) -> None:
         self._client = JsonHttpClient(host, port, timeout_ms, connections=1)
 
     def state(self) -> Placement | OrderFailed:
-        """Returns what the engine has loaded."""
+        """Returns the state that the engine has loaded."""
         response = self._client.request("GET", "/v1/engine")
         if isinstance(response, HttpFailure):
             return OrderFailed(response.message)
@@ -69,12 +74,12 @@
             names = [f.name for f in attrs.fields(Placement)]
             return Placement(**{n: body[n] for n in names if n in body})
         except (AttributeError, KeyError, TypeError, ValueError):
-            return OrderFailed("answer does not parse")
+            return OrderFailed("response is not valid")
 
     def order(
         self, fencing_number: int, placement: Placement, ticket: str
     ) -> OrderTaken | OrderFenced | OrderFailed:
-        """Orders a whole state."""
+        """Orders the engine to load a state."""
         body = attrs.asdict(placement) | {
             "number": fencing_number,
             "ticket": ticket,
@@ -92,5 +97,5 @@
 def make_engine_order_client(
     host: str, port: int, timeout_ms: int = 60_000
 ) -> EngineOrderClient:
-    """Returns the orders of the engine at an address."""
+    """Returns a client that sends orders to the engine at an address."""
     return HttpEngineOrderClient(host, port, timeout_ms)
--- a/caroblug/transport/_framing.py
+++ b/caroblug/transport/_framing.py
@@ -1,8 +1,9 @@
-"""Frames on a connection: length, authentication code, thrift payload.
+"""Framing of a connection: length, authentication code, thrift payload.
 
-Each connection has its own key, derived from the shared key and both ends'
-nonces; each frame's code also covers its direction and number. A frame that
-is forged, replayed, reflected, dropped or reordered does not verify.
+Each connection has its own key, derived from the shared key and the nonces of
+both ends. The message authentication code (MAC) of a frame also covers its
+sender and its sequence number, so that a frame that is forged, replayed,
+reflected, dropped or reordered fails verification.
 """
 
 import hashlib
@@ -34,15 +35,15 @@
 
 
 class FrameError(Exception):
-    """A frame that is over-long, does not verify or does not decode."""
+    """Raised for a frame that is too long, not authentic or not decodable."""
 
 
 class FrameAuthenticator:
-    """Seals and checks the frames of one direction.
+    """Computes and verifies the MACs of one direction of a connection.
 
     Args:
         key: Key of the connection.
-        sender: Instance that sends in this direction.
+        sender: Name of the instance that sends in this direction.
     """
 
     def __init__(self, key: bytes, sender: str) -> None:
@@ -52,7 +53,7 @@
         self._next_number = 0
 
     def compute_mac(self, payload: bytes) -> bytes:
-        """Returns the code of the next frame."""
+        """Returns the MAC of the next frame and advances the sequence."""
         state = self._keyed_hash.copy()
         state.update(_SEQUENCE.pack(self._next_number))
         state.update(payload)
@@ -60,18 +61,22 @@
         return state.digest()
 
     def verify(self, payload: bytes, mac: bytes) -> None:
-        """Raises FrameError unless this is the next frame, untouched."""
+        """Verifies that a payload is that of the next frame.
+
+        Raises:
+            FrameError: If the MAC does not match.
+        """
         if not hmac.compare_digest(self.compute_mac(payload), mac):
-            raise FrameError("authentication code does not match")
+            raise FrameError("message authentication code does not match")
 
 
 def derive_key(shared_key: bytes, dialler: wire.Hello, acceptor: wire.Hello):
     """Returns the key of a connection.
 
     Args:
-        shared_key: Key from the settings.
-        dialler: Hello of the end that dialled.
-        acceptor: Hello of the end that accepted.
+        shared_key: Shared key of all instances, from the settings.
+        dialler: Hello of the end that opened the connection.
+        acceptor: Hello of the end that accepted the connection.
     """
     state = hashlib.blake2b(key=shared_key)
     for hello in (dialler, acceptor):
@@ -80,7 +85,7 @@
 
 
 def read_exactly(sock: socket.socket, length: int) -> bytes | None:
-    """Returns `length` bytes, or None at the end of the connection."""
+    """Returns `length` bytes, or None if the connection has ended."""
     parts = []
     while length:
         part = sock.recv(min(length, 1 << 18))
@@ -92,13 +97,20 @@
 
 
 def read_payload(sock: socket.socket) -> tuple[bytes, bytes] | None:
-    """Returns (payload, code) of the next frame, or None at the end."""
+    """Returns the payload and MAC of the next frame.
+
+    Returns:
+        None if the connection has ended.
+
+    Raises:
+        FrameError: If the announced length exceeds the limit.
+    """
     header = read_exactly(sock, _HEADER.size)
     if header is None:
         return None
     length, mac = _HEADER.unpack(header)
     if length > MAX_FRAME_BYTES:
-        raise FrameError(f"frame of {length} bytes is over the limit")
+        raise FrameError(f"frame of {length} bytes exceeds the limit")
     payload = read_exactly(sock, length)
     if payload is None:
         return None
@@ -106,20 +118,24 @@
 
 
 def pack_payload(payload: bytes, mac: bytes = _EMPTY_MAC) -> bytes:
-    """Returns the bytes of a frame on the wire."""
+    """Returns a frame as bytes, with an all-zero MAC by default."""
     return _HEADER.pack(len(payload), mac) + payload
 
 
 def encode(message: object) -> bytes:
-    """Returns a thrift struct as compact bytes."""
+    """Returns a thrift struct encoded with the compact protocol."""
     return serialize(message, _PROTOCOL_FACTORY)
 
 
 def decode(cls: type, payload: bytes):
-    """Returns the thrift struct of class `cls`; raises FrameError."""
+    """Returns the thrift struct of class `cls` that a payload encodes.
+
+    Raises:
+        FrameError: If the payload is not such a struct.
+    """
     try:
         return deserialize(cls(), payload, _PROTOCOL_FACTORY)
     except (TException, TProtocolException, EOFError, ValueError) as error:
-        raise FrameError(f"frame does not decode: {error}") from error
+        raise FrameError(f"frame cannot be decoded: {error}") from error
     except (TypeError, OverflowError, UnicodeDecodeError) as error:
-        raise FrameError(f"frame does not decode: {error}") from error
+        raise FrameError(f"frame cannot be decoded: {error}") from error
--- a/caroblug/transport/_handler.py
+++ b/caroblug/transport/_handler.py
@@ -1,4 +1,4 @@
-"""What a program does with its peers' messages."""
+"""Interface through which a program receives messages from its peers."""
 
 import abc
 
@@ -7,20 +7,25 @@
 
 
 class PeerHandler(abc.ABC):
-    """What a program does with its peers' messages; must not block."""
+    """Callbacks of a `PeerNetwork`; they must not block."""
 
     @abc.abstractmethod
     def on_frame(self, peer: PeerAddress, frame: wire.Frame) -> None:
-        """Takes a frame from a peer that has proved itself.
+        """Handles a frame from an authenticated peer.
 
-        Each frame is given once, in the order in which the peer sent it,
-        until the peer is lost.
+        Each frame is delivered once, in the order in which the peer sent it,
+        until the session ends.
         """
 
     @abc.abstractmethod
     def on_peer_up(self, peer: PeerAddress) -> None:
-        """Learns of a new session with a peer."""
+        """Handles the start of a session with a peer."""
 
     @abc.abstractmethod
     def on_peer_lost(self, peer: PeerAddress, reason: str) -> None:
-        """Learns that a session has ended; what was in flight is lost."""
+        """Handles the end of a session; messages in flight are lost.
+
+        Args:
+            peer: The peer.
+            reason: Why the session has ended.
+        """
--- a/caroblug/transport/_http.py
+++ b/caroblug/transport/_http.py
@@ -1,4 +1,4 @@
-"""JSON over HTTP to the systems outside, with a bounded time."""
+"""HTTP clients with timeouts, for JSON requests to external systems."""
 
 import dataclasses
 import http.client
@@ -15,12 +15,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HttpFailure:
-    """A call without an answer.
+    """A request that got no response.
 
     Attributes:
-        message: What was seen.
-        sent: Whether any byte of the call may have left.
-        timed_out: Whether the other end stayed silent, rather than gone.
+        message: Description of the failure.
+        sent: Whether part of the request may have been sent.
+        timed_out: Whether the request timed out, rather than failing with a
+            connection error.
     """
 
     message: str
@@ -30,11 +31,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HttpResponse:
-    """An answer.
+    """An HTTP response.
 
     Attributes:
-        status: HTTP status.
-        body: Body bytes.
+        status: Status code.
+        body: Body as bytes.
         headers: Header names and values, in order.
     """
 
@@ -43,7 +44,11 @@
     headers: tuple[tuple[str, str], ...] = ()
 
     def json(self) -> Any:
-        """Returns the body parsed as JSON; raises ValueError."""
+        """Returns the body parsed as JSON.
+
+        Raises:
+            ValueError: If the body is not JSON.
+        """
         return orjson.loads(self.body)
 
 
@@ -53,8 +58,8 @@
     Args:
         host: IP address.
         port: Port.
-        timeout_ms: Bound on connecting and on each wait for bytes.
-        connections: Connections kept open.
+        timeout_ms: Timeout for connecting and for each read.
+        connections: Maximum number of concurrent connections.
     """
 
     def __init__(
@@ -75,7 +80,14 @@
         body: Any = None,
         headers: dict[str, str] | None = None,
     ) -> HttpResponse | HttpFailure:
-        """Makes one call; a dictionary or list is sent as JSON."""
+        """Sends a request and returns its response.
+
+        Args:
+            method: HTTP method.
+            path: Path and query.
+            body: Bytes, or a dictionary or list to send as JSON.
+            headers: Header names and values.
+        """
         data = body if isinstance(body, bytes) else b""
         sent_headers = dict(headers or {})
         if isinstance(body, (dict, list)):
@@ -112,23 +124,23 @@
     headers: dict[str, str],
     may_send: Callable[[], bool],
 ) -> HttpResponse | HttpFailure:
-    """Makes one call over a connection of its own; sends it once at most.
+    """Sends a request at most once, over a connection of its own.
 
-    Guards against a hidden resend: `JsonHttpClient` sends a PUT or DELETE
-    again by itself when a kept connection breaks, so that a service that has
-    run it runs it twice. A new connection is never a broken kept one, and
-    http.client sends nothing again.
+    `JsonHttpClient` resends a PUT or DELETE by itself when a keep-alive
+    connection breaks, so that a service may execute it twice. This function
+    opens a new connection, which can't be a stale keep-alive connection, and
+    `http.client` never resends.
 
     Args:
         host: IP address.
         port: Port.
-        timeout_ms: Bound on connecting and on each wait for bytes.
+        timeout_ms: Timeout for connecting and for each read.
         method: HTTP method.
         path: Path and query.
-        body: Body bytes.
+        body: Body as bytes.
         headers: Header names and values.
-        may_send: Asked once the connection is open, right before the first
-            byte leaves.
+        may_send: Called when the connection is open, right before the first
+            byte is sent. The request is sent only if it returns True.
     """
     connection = http.client.HTTPConnection(host, port, timeout_ms / 1000)
     try:
@@ -138,7 +150,9 @@
         return HttpFailure(_format_error(error), sent=False)
     try:
         if not may_send():
-            return HttpFailure("the time to call has passed", sent=False)
+            return HttpFailure(
+                "deadline passed before the request was sent", sent=False
+            )
         connection.request(method, path, body, headers)
         response = connection.getresponse()
         content = response.read()
--- a/caroblug/transport/_instances.py
+++ b/caroblug/transport/_instances.py
@@ -1,4 +1,7 @@
-"""The platform's instance list: live and leaving instances, with a lag."""
+"""Client of the platform's instance list.
+
+The list contains running and leaving instances and may lag behind.
+"""
 
 import abc
 import dataclasses
@@ -13,16 +16,16 @@
 
 @attrs.frozen
 class InstanceRecord:
-    """One instance as the platform lists it.
+    """One entry of the instance list.
 
     Attributes:
-        instance: Its name.
+        instance: Name of the instance.
         role: `entry` or `side`.
         host: IP address.
-        port: Port for caroblug's own processes.
-        data_centre: Where it runs.
-        leaving: Whether the platform is taking it away.
-        http_port: Port for HTTP; 0 if the list does not show it.
+        port: Port for connections from other instances.
+        data_centre: Data centre in which it runs.
+        leaving: Whether the platform is removing it.
+        http_port: Port for HTTP; 0 if the list does not contain it.
     """
 
     instance: str
@@ -36,13 +39,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class InstancesUnavailable:
-    """The instance list gave no answer."""
+    """A failed call to the instance list.
+
+    Attributes:
+        message: Description of the failure.
+    """
 
     message: str
 
 
 class InstanceList(abc.ABC):
-    """A client of the instance list."""
+    """Interface of a client of the instance list."""
 
     @abc.abstractmethod
     def fetch(self) -> tuple[InstanceRecord, ...] | InstancesUnavailable:
@@ -50,11 +57,15 @@
 
     @abc.abstractmethod
     def withdraw(self, instance: str) -> InstancesUnavailable | None:
-        """Lists an instance as leaving; returns what went wrong, or None."""
+        """Marks an instance as leaving.
+
+        Returns:
+            None on success, else why the call failed.
+        """
 
 
 class HttpInstanceList(InstanceList):
-    """The instance list over HTTP and JSON."""
+    """An instance list client over HTTP and JSON."""
 
     def __init__(self, host: str, port: int, timeout_ms: int) -> None:
         self._client = JsonHttpClient(host, port, timeout_ms, connections=1)
@@ -80,10 +91,10 @@
                 for i in response.json()["instances"]
             )
         except (KeyError, TypeError, ValueError):
-            return InstancesUnavailable("answer does not parse")
+            return InstancesUnavailable("response is not valid")
 
     def withdraw(self, instance: str) -> InstancesUnavailable | None:
-        """Lists an instance as leaving."""
+        """Marks an instance as leaving."""
         body = {"instance": instance, "state": _LEAVING}
         response = self._client.request("POST", "/instances", body)
         if isinstance(response, HttpFailure):
--- a/caroblug/transport/_links.py
+++ b/caroblug/transport/_links.py
@@ -1,4 +1,4 @@
-"""One authenticated connection between two processes, and its handshake."""
+"""Authenticated connections between two instances, and their handshake."""
 
 import secrets
 from collections.abc import Callable
@@ -12,7 +12,7 @@
 
 @attrs.frozen
 class PeerAddress:
-    """Where a process of the system listens for the others."""
+    """The name of an instance and the address on which it accepts peers."""
 
     instance: str
     host: str
@@ -26,12 +26,12 @@
 
     Attributes:
         sock: The connection's socket.
-        peer: What the other end says of itself.
-        peer_session: The session that the other end named.
+        peer: Address from the hello of the peer.
+        peer_session: Session identifier from the hello of the peer.
         wake: Set when there is something to write.
-        resend: Whether unacknowledged frames go first.
-        received_ms: When a frame last arrived.
-        closed: Whether this end has closed it.
+        resend: Whether to write the unacknowledged frames first.
+        received_ms: Time at which the last frame was received.
+        closed: Whether this end has closed the connection.
     """
 
     def __init__(
@@ -59,13 +59,22 @@
         self._incoming = incoming
 
     def write(self, payload: bytes) -> None:
-        """Sends a payload; raises OSError."""
+        """Sends a payload as a frame.
+
+        Raises:
+            OSError: If the connection fails.
+        """
         self.sock.sendall(
             framing.pack_payload(payload, self._outgoing.compute_mac(payload))
         )
 
     def read(self) -> bytes | None:
-        """Returns the next payload, None at the end; raises FrameError."""
+        """Returns the next payload, or None if the connection has ended.
+
+        Raises:
+            FrameError: If the frame is too long or not authentic.
+            OSError: If the connection fails.
+        """
         received = framing.read_payload(self.sock)
         if received is None:
             return None
@@ -73,7 +82,7 @@
         return received[0]
 
     def close(self) -> None:
-        """Closes the connection, also under a write that is blocked."""
+        """Closes the connection; a blocked write fails."""
         self.closed = True
         self.wake.set()
         self.sock.close()
@@ -82,10 +91,14 @@
 def handshake_as_dialler(
     sock: socket.socket, own_hello: wire.Hello, shared_key: bytes, now_ms: int
 ) -> Link:
-    """Does the handshake of the end that dialled, up to its own proof.
+    """Performs the dialling end's handshake, except for its proof.
 
-    The proof is sent by `send_proof`, so that the caller can look at the other
-    end's session first. Raises FrameError or OSError.
+    The caller sends the proof with `send_proof` after it has checked the
+    session identifier of the peer.
+
+    Raises:
+        FrameError: If the peer is not authentic or speaks another protocol.
+        OSError: If the connection fails.
     """
     _configure_socket(sock)
     own_hello = _add_nonce(own_hello)
@@ -94,7 +107,9 @@
     key = framing.derive_key(shared_key, own_hello, peer_hello)
     link = _make_link(sock, own_hello, peer_hello, key, now_ms)
     if link.read() is None:
-        raise framing.FrameError("peer closed in the handshake")
+        raise framing.FrameError(
+            "peer closed the connection during the handshake"
+        )
     return link
 
 
@@ -104,33 +119,40 @@
     shared_key: bytes,
     now_ms: int,
 ) -> Link:
-    """Does the handshake of the end that accepted.
+    """Performs the accepting end's handshake.
 
-    Guards against a peer without the shared key: the link is returned only
-    after the other end's first sealed frame has been checked.
+    The link is returned only after the first authenticated frame of the peer
+    has been verified, so that a peer without the shared key is rejected.
 
     Args:
-        sock: The connection.
-        make_hello: Called with the other end's hello, not yet proved.
-        shared_key: Key by which processes prove themselves.
-        now_ms: The time.
+        sock: Socket of the connection.
+        make_hello: Returns this end's hello. It is called with the hello of
+            the peer, which is not authenticated yet.
+        shared_key: Key with which instances authenticate each other.
+        now_ms: Current time.
+
+    Raises:
+        FrameError: If the peer is not authentic or speaks another protocol.
+        OSError: If the connection fails.
     """
     _configure_socket(sock)
     peer_hello = _read_hello(sock, None)
     own_hello = _add_nonce(make_hello(peer_hello))
     if peer_hello.instance == own_hello.instance:
-        raise framing.FrameError("peer has this instance's name")
+        raise framing.FrameError("peer has the same instance name")
     sock.sendall(framing.pack_payload(framing.encode(own_hello)))
     key = framing.derive_key(shared_key, peer_hello, own_hello)
     link = _make_link(sock, own_hello, peer_hello, key, now_ms)
     send_proof(link)
     if link.read() is None:
-        raise framing.FrameError("peer closed in the handshake")
+        raise framing.FrameError(
+            "peer closed the connection during the handshake"
+        )
     return link
 
 
 def send_proof(link: Link) -> None:
-    """Sends the first sealed frame, which shows knowledge of the key."""
+    """Sends the first authenticated frame, proving knowledge of the key."""
     link.write(framing.encode(wire.Frame()))
 
 
@@ -157,15 +179,19 @@
 ) -> wire.Hello:
     received = framing.read_payload(sock)
     if received is None:
-        raise framing.FrameError("peer closed in the handshake")
+        raise framing.FrameError(
+            "peer closed the connection during the handshake"
+        )
     peer_hello = framing.decode(wire.Hello, received[0])
     if (
         peer_hello.protocol != framing.PROTOCOL_VERSION
         or not peer_hello.instance
     ):
-        raise framing.FrameError("another protocol")
+        raise framing.FrameError(
+            "hello has another protocol version or no instance"
+        )
     if own_hello is not None and peer_hello.instance == own_hello.instance:
-        raise framing.FrameError("peer has this instance's name")
+        raise framing.FrameError("peer has the same instance name")
     return peer_hello
 
 
--- a/caroblug/transport/_log.py
+++ b/caroblug/transport/_log.py
@@ -1,4 +1,4 @@
-"""The platform's log service: append-only streams with offsets."""
+"""Client of the platform's log service: append-only streams with offsets."""
 
 import abc
 import base64
@@ -24,7 +24,7 @@
 
 @attrs.frozen
 class Appended:
-    """The record is in the stream at `offset`."""
+    """A successful append; the record is in the stream at `offset`."""
 
     offset: int
 
@@ -34,8 +34,8 @@
     """Records read from a stream.
 
     Attributes:
-        records: In offset order; empty if there were none in time.
-        next_offset: Where to read on.
+        records: Records in offset order; empty if none arrived in time.
+        next_offset: Offset at which to continue.
         end_offset: One past the last record of the stream.
     """
 
@@ -46,11 +46,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LogUnavailable:
-    """The log gave no answer.
+    """A failed call to the log service.
 
     Attributes:
-        message: What was seen.
-        maybe_written: Whether the record may be in the stream all the same.
+        message: Description of the failure.
+        maybe_written: Whether the record may have been appended anyway.
     """
 
     message: str
@@ -58,7 +58,7 @@
 
 
 class LogService(abc.ABC):
-    """A client of the log service."""
+    """Interface of a client of the log service."""
 
     @abc.abstractmethod
     def append(self, stream: str, data: bytes) -> Appended | LogUnavailable:
@@ -68,19 +68,26 @@
     def read(
         self, stream: str, offset: int, limit: int = 100, wait_ms: int = 0
     ) -> RecordBatch | LogUnavailable:
-        """Reads from `offset`, waiting up to `wait_ms` for a first record.
+        """Reads records from `offset` on.
 
-        Where older records have expired, reading begins at the oldest kept.
+        If records from `offset` on have expired, reading begins at the oldest
+        retained record.
+
+        Args:
+            stream: Name of the stream.
+            offset: Offset of the first record to read.
+            limit: Maximum number of records.
+            wait_ms: How long to wait for a first record.
         """
 
 
 class HttpLogService(LogService):
-    """The log service over HTTP and JSON.
+    """A log service client over HTTP and JSON.
 
     Args:
         host: IP address.
         port: Port.
-        timeout_ms: Bound on one call, without the time asked to wait.
+        timeout_ms: Timeout of a call, in addition to the wait of a read.
     """
 
     def __init__(self, host: str, port: int, timeout_ms: int) -> None:
@@ -102,7 +109,7 @@
     def read(
         self, stream: str, offset: int, limit: int = 100, wait_ms: int = 0
     ) -> RecordBatch | LogUnavailable:
-        """Reads from `offset`."""
+        """Reads records from `offset` on."""
         client = self._long_poll_client if wait_ms else self._client
         path = f"/streams/{stream}?offset={offset}&limit={limit}"
         response = client.request("GET", f"{path}&wait_ms={wait_ms}")
@@ -113,7 +120,7 @@
         try:
             return _parse_records(response.json())
         except (KeyError, TypeError, ValueError, orjson.JSONDecodeError):
-            return LogUnavailable("answer does not parse")
+            return LogUnavailable("response is not valid")
 
 
 def _parse_records(body: dict) -> RecordBatch:
--- a/caroblug/transport/_pause_detector.py
+++ b/caroblug/transport/_pause_detector.py
@@ -1,17 +1,17 @@
-"""Notices that this process itself was paused."""
+"""Detection of pauses of this process."""
 
 from caroblug.utils import Clock
 
 
 class PauseDetector:
-    """Compares the time between ticks with what it should be.
+    """Detects pauses of this process from late ticks.
 
     Args:
         clock: Source of time.
-        tick_ms: Time between ticks.
-        short_pause_ms: Lateness of a tick that counts as a pause.
-        long_pause_ms: Time without a tick after which peers may have given this
-            process up.
+        tick_ms: Interval between ticks.
+        short_pause_ms: Delay of a tick that counts as a pause.
+        long_pause_ms: Time without a tick after which peers may have declared
+            this process lost.
     """
 
     def __init__(
@@ -28,26 +28,26 @@
 
     @property
     def elapsed_ms(self) -> int:
-        """Time since the last tick."""
+        """Time since the last tick, in milliseconds."""
         return self._clock.now_ms() - self._last_tick_ms
 
     @property
     def is_short_pause(self) -> bool:
-        """Whether the next tick is late."""
+        """Whether the next tick is overdue."""
         return self.elapsed_ms > self._short_limit_ms
 
     @property
     def is_long_pause(self) -> bool:
-        """Whether peers may have given this process up meanwhile.
+        """Whether peers may have declared this process lost in the meantime.
 
-        Guards against frames from before a pause, in which the peers may
-        have given up the session: this process would open streams that have
-        ended. It reads nothing from the old connections. On new ones each
-        peer sends again what it still wants to be read, or says that it has
-        lost the session.
+        Frames that were sent before a long pause must not be handled: the
+        peers may have ended the session, and this process would open streams
+        that have ended. Therefore nothing more is read from the old
+        connections. On a new connection each peer resends what is not
+        acknowledged, or reports that it no longer knows the session.
         """
         return self.elapsed_ms > self._long_limit_ms
 
     def tick(self) -> None:
-        """Notes a tick."""
+        """Records a tick."""
         self._last_tick_ms = self._clock.now_ms()
--- a/caroblug/transport/_peers.py
+++ b/caroblug/transport/_peers.py
@@ -1,10 +1,10 @@
-"""Sessions between caroblug's own processes, over connections that may die.
+"""Network of sessions between instances, which survive lost connections.
 
-One session serves a pair of processes in both directions. A writer sends
-everything that waits for a peer in one frame, so that the cost of a frame is
-shared by all steps that wait. A connection that is reset or goes silent is
-replaced by a new one, on which what was not acknowledged is sent again; only
-a peer that does not answer on a new connection is lost.
+A session serves a pair of instances in both directions. All messages that are
+queued for a peer are sent in one frame, so that they share the cost of a
+frame. A connection that is reset or silent is replaced by a new one, on which
+unacknowledged frames are sent again. A peer is lost only if it does not
+respond on a new connection.
 """
 
 import collections
@@ -32,15 +32,15 @@
 
 
 class PeerNetwork:
-    """All sessions of one process.
+    """The sessions of one instance with its peers.
 
     Args:
-        hello: What this process says of itself; its nonce is not used.
-        shared_key: Key by which processes prove themselves.
-        handler: Takes what arrives.
+        hello: Template of this instance's hello; its nonce is not used.
+        shared_key: Key with which instances authenticate each other.
+        handler: Receives frames and session events.
         clock: Source of time.
-        metrics: Where frames and refused peers are counted.
-        timing: How soon a peer is asked whether it still lives.
+        metrics: Registry that counts frames, connections and lost peers.
+        timing: Heartbeat intervals and timeouts of the sessions.
     """
 
     def __init__(
@@ -71,13 +71,13 @@
 
     @property
     def peers(self) -> tuple[PeerAddress, ...]:
-        """The peers connected now."""
+        """The peers that currently have a connection."""
         return tuple(
             s.current.peer for s in self._sessions.values() if s.current
         )
 
     def start(self, host: str, port: int) -> int:
-        """Listens for peers and returns the port."""
+        """Starts to listen for peers and returns the port."""
         self._server = server.StreamServer((host, port), self._accept)
         self._server.start()
         self._hello.host = self._hello.host or host
@@ -95,24 +95,28 @@
                 link.close()
 
     def is_connected(self, instance: str) -> bool:
-        """Tells whether there is a session with a peer."""
+        """Returns whether there is a session with a peer."""
         return instance in self._sessions
 
     def add_in_flight(self, instance: str, change: int = 1) -> None:
-        """Adds to the count of work in flight that needs a peer.
+        """Changes the count of work in flight that depends on a peer.
 
-        Heartbeats are frequent, and silence is noticed soon, only while the
-        count is above zero: idle connections must stay cheap.
+        Heartbeats are frequent and timeouts short only while the count is
+        above zero, so that idle connections stay cheap.
+
+        Args:
+            instance: Name of the peer.
+            change: Amount to add to the count; may be negative.
         """
         self._in_flight[instance] += change
         if self._in_flight[instance] <= 0:
             del self._in_flight[instance]
 
     def send(self, to: PeerAddress, *messages: object) -> None:
-        """Queues messages for a peer, dialling it if need be.
+        """Queues messages for a peer and connects to it if necessary.
 
-        Nothing is raised: a peer that cannot be reached is told to the
-        handler by `on_peer_lost`.
+        A peer that cannot be reached raises no error here; it is reported by
+        `PeerHandler.on_peer_lost`.
         """
         session = self._sessions.get(to.instance)
         if session is None:
@@ -122,10 +126,10 @@
         self._queue(session, messages)
 
     def disconnect(self, instance: str) -> None:
-        """Ends the session with a peer that is not needed now."""
+        """Ends the session with a peer that is not needed any more."""
         session = self._sessions.get(instance)
         if session is not None:
-            self._end_session(session, "not needed")
+            self._end_session(session, "not needed any more")
 
     def broadcast(self, role: str, *messages: object) -> None:
         """Queues messages for every connected peer of a role."""
@@ -144,11 +148,12 @@
             gevent.spawn(self._dial, session)
 
     def _dial(self, session: Session) -> None:
-        """Connects anew; a peer that does not answer in time is lost.
+        """Opens a new connection; a peer that does not respond is lost.
 
-        Guards against a frozen process, whose kernel still accepts: only an
-        answer of the process itself counts. A peer that acknowledged
-        something on the old connection meanwhile was merely slow.
+        The kernel of a frozen process still accepts connections, so that only
+        a completed handshake shows that the peer is alive. A peer that has
+        acknowledged frames on the old connection in the meantime is slow, not
+        lost.
         """
         before_ms = self._clock.now_ms()
         older = list(session.links)
@@ -174,11 +179,11 @@
         self._read_forever(session, link)
 
     def _connect(self, session: Session) -> Link | str:
-        """Returns a proved connection, or why there is none."""
+        """Returns an authenticated connection, or why there is none."""
         sock = None
         timeout = gevent.Timeout(
             self._dial_timeout_ms(session) / _MS_PER_S,
-            TimeoutError("no answer"),
+            TimeoutError("no response"),
         )
         try:
             with timeout:
@@ -205,11 +210,12 @@
         return self._timing.probe_ms + 4 * session.rtt_ms
 
     def _accept(self, sock: socket.socket, address: object) -> None:
-        """Answers a connection, for the session it names or a new one.
+        """Accepts a connection for the named session or for a new one.
 
-        Guards against a process that was declared dead and wakes up: it
-        names a session that is no longer known here, or is told one that it
-        does not know, and each end then drops what belonged to the old one.
+        A process that was declared dead and resumes still belongs to the old
+        session. Either its hello names a session that is unknown here, or the
+        hello of this end names one that is unknown there. Each end then drops
+        the state of the old session.
         """
         del address
         known: Session | None = None
@@ -247,7 +253,7 @@
             return
         if session is not known:
             if known is not None:
-                self._end_session(known, "peer has begun a new session")
+                self._end_session(known, "peer has started a new session")
             self._sessions[link.peer.instance] = session
         self._attach_link(session, link)
         self._read_forever(session, link)
@@ -268,7 +274,7 @@
             self._handler.on_peer_up(link.peer)
 
     def _read_forever(self, session: Session, link: Link) -> None:
-        reason = "closed by peer"
+        reason = "connection closed by peer"
         try:
             while True:
                 payload = link.read()
@@ -338,10 +344,16 @@
     def _resume_after_pause(
         self, session: Session, now_ms: int, *, long: bool
     ) -> None:
-        """Makes up for a pause of this process, short or long.
+        """Restarts the timeouts of a session after a pause of this process.
+
+        Otherwise a resumed process would suspect all its peers before it has
+        read the frames that they sent during the pause.
 
-        Guards against a process that, awake again, takes all its peers for
-        silent before it has read what they sent.
+        Args:
+            session: The session.
+            now_ms: Current time.
+            long: Whether the pause was so long that peers may have declared
+                this process lost; the connections are dropped then.
         """
         session.restart_wait(now_ms)
         if long:
@@ -350,7 +362,9 @@
 
     def _tick(self, session: Session, now_ms: int) -> None:
         if session.delivery.over_limit:
-            self._end_session(session, "too much unacknowledged")
+            self._end_session(
+                session, "unacknowledged or early frames exceed the limit"
+            )
             return
         suspected = session.tick(
             self._timing,
@@ -365,7 +379,7 @@
                 self._drop_link(session, link, "superseded")
 
     def _drop_link(self, session: Session, link: Link, reason: str) -> None:
-        """Ends a connection and goes on with another, or dials one."""
+        """Closes a connection and continues on another or a new one."""
         link.close()
         if link not in session.links:
             return
@@ -402,7 +416,7 @@
     metrics: Metrics,
     timing: SessionTiming | None = None,
 ) -> PeerNetwork:
-    """Returns a network that is not yet listening."""
+    """Returns a network that does not listen yet."""
     return PeerNetwork(
         hello, shared_key, handler, clock, metrics, timing or SessionTiming()
     )
--- a/caroblug/transport/_sessions.py
+++ b/caroblug/transport/_sessions.py
@@ -1,8 +1,8 @@
-"""One session with a peer: it outlives its connections.
+"""State of one session with a peer, which outlives its connections.
 
-A session is dead when the peer cannot be reached by a new connection, when
-it says on a new connection that it has begun another session, or when more
-is unacknowledged than may be kept.
+A session ends when a new connection to the peer fails, when the peer names
+another session on a new connection, or when the unacknowledged frames or the
+frames received out of order exceed their limit.
 """
 
 import secrets
@@ -14,7 +14,7 @@
 from caroblug.transport import _framing as framing
 from caroblug.transport._links import Link, PeerAddress
 
-SESSION_UNKNOWN = "peer has lost the session"
+SESSION_UNKNOWN = "peer does not know the session"
 _SESSION_BYTES = 8
 _RTT_GAIN = 0.25
 _MAX_RTT_MS = 250.0
@@ -44,16 +44,19 @@
 
 @attrs.frozen
 class SessionTiming:
-    """How soon a session is asked whether it still lives.
+    """Heartbeat intervals and timeouts of a session.
 
     Attributes:
-        heartbeat_ms: Quiet time before a heartbeat, with work in flight.
-        silence_ms: Wait for an acknowledgement, with work in flight, after
-            which a new connection asks the peer.
-        probe_ms: Wait for the peer's answer on a new connection.
-        idle_heartbeat_ms: Quiet time before a heartbeat without work.
-        idle_silence_ms: Wait for an acknowledgement without work.
-        max_ack_delay_ms: Longest time an acknowledgement is held back.
+        heartbeat_ms: Time without traffic before a heartbeat, with work in
+            flight.
+        silence_ms: Time without an acknowledgement after which the peer is
+            suspected and probed on a new connection, with work in flight.
+        probe_ms: Timeout of the handshake on that connection.
+        idle_heartbeat_ms: Time without traffic before a heartbeat, without
+            work in flight.
+        idle_silence_ms: Time without an acknowledgement after which the peer
+            is suspected, without work in flight.
+        max_ack_delay_ms: Maximum delay of an acknowledgement.
     """
 
     heartbeat_ms: int = 100
@@ -68,9 +71,10 @@
     """One session with a peer.
 
     Args:
-        peer: Where the peer listens.
-        peer_session_id: The peer's name of the session, empty if unknown.
-        now_ms: The time.
+        peer: Address of the peer.
+        peer_session_id: Identifier that the peer gave the session; empty if
+            unknown.
+        now_ms: Current time.
     """
 
     def __init__(
@@ -95,22 +99,22 @@
 
     @property
     def current(self) -> Link | None:
-        """The connection that is written to: the newest."""
+        """The connection to write to, which is the newest one."""
         return self.links[-1] if self.links else None
 
     @property
     def rtt_ms(self) -> float:
-        """Smoothed round trip to the peer and back; 0 if not known."""
+        """Smoothed round-trip time to the peer; 0 if unknown."""
         return self._rtt_ms
 
     def add_rtt(self, ms: float) -> None:
-        """Takes one measured round trip into the smoothed one."""
+        """Updates the smoothed round-trip time with a measurement."""
         ms = min(ms, _MAX_RTT_MS)
         gain = _RTT_GAIN if self._rtt_ms else 1.0
         self._rtt_ms += gain * (ms - self._rtt_ms)
 
     def make_hello(self, own_hello: wire.Hello) -> wire.Hello:
-        """Returns this process's hello for the session."""
+        """Returns this instance's hello with the session identifier."""
         return wire.Hello(
             own_hello.instance,
             own_hello.role,
@@ -123,9 +127,13 @@
         )
 
     def verify_link(self, link: Link) -> None:
-        """Raises FrameError unless a dialled link serves this session."""
+        """Verifies that a dialled link belongs to this session.
+
+        Raises:
+            FrameError: If another instance or another session responded.
+        """
         if link.peer.instance != self.peer.instance:
-            raise framing.FrameError("another instance answered")
+            raise framing.FrameError("another instance responded")
         if self.peer_session_id and self.peer_session_id != link.peer_session:
             raise framing.FrameError(SESSION_UNKNOWN)
 
@@ -135,12 +143,12 @@
         self.wake()
 
     def wake(self) -> None:
-        """Lets the current connection write what waits."""
+        """Wakes the writer of the current connection."""
         if self.links:
             self.links[-1].wake.set()
 
     def next_payload(self, now_ms: int) -> bytes | None:
-        """Returns the frame to write next, or None if nothing waits."""
+        """Returns the next frame to write, or None if nothing is queued."""
         if not self.outbox and not self.ack_due:
             return None
         frame = wire.Frame(
@@ -164,7 +172,7 @@
         return payload
 
     def on_frame(self, frame: wire.Frame, now_ms: int) -> list[wire.Frame]:
-        """Takes a frame and returns those now due, in order."""
+        """Handles a frame and returns the frames to deliver, in order."""
         self._last_received_ms = now_ms
         self._unanswered_ping_ms = 0
         if frame.acknowledged:
@@ -186,7 +194,7 @@
             self.add_rtt(now_ms - self._last_ping_ms)
 
     def restart_wait(self, now_ms: int) -> None:
-        """Counts every wait from now, after a pause of this process."""
+        """Restarts all timeouts, after a pause of this process."""
         self._last_received_ms = now_ms
         self._unanswered_ping_ms = 0
         self.delivery.restart_wait(now_ms)
@@ -194,11 +202,16 @@
     def tick(
         self, timing: SessionTiming, *, in_flight: bool, now_ms: int
     ) -> bool:
-        """Sends what is due, and tells whether the peer is suspected.
+        """Sends due messages and returns whether the peer is suspected.
+
+        The timeouts also detect a connection that a device between the two
+        ends has dropped from its state: no reset arrives and sends seem to
+        succeed, but nothing is acknowledged any more.
 
-        Guards against a connection that something between the two ends has
-        lost track of: no reset arrives, sends seem to succeed, and nothing
-        is acknowledged any more.
+        Args:
+            timing: Heartbeat intervals and timeouts.
+            in_flight: Whether work in flight depends on the peer.
+            now_ms: Current time.
         """
         if self._ack_due_since_ms and (
             now_ms - self._ack_due_since_ms >= timing.max_ack_delay_ms
--- a/caroblug/transport/_suspicion_messages.py
+++ b/caroblug/transport/_suspicion_messages.py
@@ -1,11 +1,11 @@
-"""Suspicions as messages between instances."""
+"""Conversion of crash suspicions to and from thrift messages."""
 
 from caroblug.core.limits import Suspicion
 from caroblug.gen.wire import ttypes as wire
 
 
 def suspicion_to_wire(suspicion: Suspicion) -> wire.Suspicion:
-    """Returns the message that carries a suspicion."""
+    """Returns a suspicion as a message."""
     return wire.Suspicion(
         suspicion.fingerprint,
         suspicion.client_account,
@@ -17,7 +17,7 @@
 
 
 def suspicion_from_wire(message: wire.Suspicion) -> Suspicion:
-    """Returns the suspicion that a message carries."""
+    """Returns the suspicion in a message."""
     return Suspicion(
         message.fingerprint,
         message.client_account,
--- a/caroblug/transport/_weight_store.py
+++ b/caroblug/transport/_weight_store.py
@@ -1,4 +1,4 @@
-"""The weight store: gives leave to load weights, at its own rate."""
+"""Client of the weight store, which limits the rate of weight loads."""
 
 import abc
 import dataclasses
@@ -14,10 +14,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Reserved:
-    """The weights may be loaded.
+    """Permission to load weights.
 
     Attributes:
-        ticket: Shown to the store by the engine.
+        ticket: Ticket that the engine presents to the store.
     """
 
     ticket: str
@@ -25,10 +25,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WeightsBusy:
-    """The store's rate is used up.
+    """A refusal because the rate limit of the store is reached.
 
     Attributes:
-        retry_after_ms: When to ask again, as the store says.
+        retry_after_ms: Time that the store asks to wait before a retry.
     """
 
     retry_after_ms: int
@@ -36,10 +36,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WeightsUnavailable:
-    """The store gave no answer.
+    """A failed call to the store.
 
     Attributes:
-        message: What was seen.
+        message: Description of the failure.
     """
 
     message: str
@@ -49,21 +49,21 @@
 
 
 class WeightStore(abc.ABC):
-    """A client of the weight store."""
+    """Interface of a client of the weight store."""
 
     @abc.abstractmethod
     def reserve(self, model: str, version: str, adapter: str) -> Reservation:
-        """Asks for leave to load weights."""
+        """Requests permission to load the weights of a model version."""
 
 
 class HttpWeightStore(WeightStore):
-    """The weight store over HTTP and JSON."""
+    """A weight store client over HTTP and JSON."""
 
     def __init__(self, host: str, port: int, timeout_ms: int) -> None:
         self._client = JsonHttpClient(host, port, timeout_ms, connections=1)
 
     def reserve(self, model: str, version: str, adapter: str) -> Reservation:
-        """Asks for leave to load weights."""
+        """Requests permission to load the weights of a model version."""
         body = {"model": model, "version": version, "adapter": adapter}
         response = self._client.request("POST", "/v1/loads", body)
         if isinstance(response, HttpFailure):
@@ -75,7 +75,7 @@
         try:
             return Reserved(str(response.json()["ticket"]))
         except (KeyError, TypeError, ValueError):
-            return WeightsUnavailable("answer does not parse")
+            return WeightsUnavailable("response is not valid")
 
 
 def _retry_after_ms(response: HttpResponse) -> int:
--- a/caroblug/transport/tests/__init__.py
+++ b/caroblug/transport/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the transport."""
+"""Tests of the transport package."""
--- a/caroblug/transport/tests/test_frame_authentication.py
+++ b/caroblug/transport/tests/test_frame_authentication.py
@@ -1,4 +1,4 @@
-"""Forged, replayed, reflected and over-long frames, over raw sockets."""
+"""Tests with forged, replayed, reflected and oversized frames."""
 
 import socket as plain_socket
 import struct
@@ -19,11 +19,11 @@
 _HOST = "127.0.0.1"
 _KEY = b"a key that both ends have been given"
 _HEADER = struct.Struct(">I16s")
-_BOUND_S = 20.0
+_TIMEOUT_S = 20.0
 
 
-class _End(PeerHandler):
-    """One process's network; keeps the cancels that it is given."""
+class _Endpoint(PeerHandler):
+    """A network of one instance; records the cancels that it receives."""
 
     def __init__(self, name, key=_KEY):
         self.metrics = make_metrics()
@@ -54,8 +54,8 @@
         )
 
 
-class _Middle:
-    """Stands between two ends and may repeat or turn round their frames."""
+class _Proxy:
+    """Forwards frames between two endpoints and records those of the client."""
 
     def __init__(self, port):
         self._port = port
@@ -69,18 +69,18 @@
     def _accept(self, client, _):
         upstream = socket.create_connection((_HOST, self._port))
         self.to_server, self.to_client = upstream, client
-        gevent.spawn(self._pump, upstream, client, None)
-        self._pump(client, upstream, self.sent)
+        gevent.spawn(self._forward, upstream, client, None)
+        self._forward(client, upstream, self.sent)
 
-    def _pump(self, source, sink, kept):
+    def _forward(self, source, sink, recorded):
         try:
             while True:
                 header = _read(source, _HEADER.size)
                 length, _ = _HEADER.unpack(header)
                 frame = header + _read(source, length)
                 sink.sendall(frame)
-                if kept is not None:
-                    kept.append(frame)
+                if recorded is not None:
+                    recorded.append(frame)
         except OSError:
             sink.close()
 
@@ -99,17 +99,17 @@
 
 
 def _wait(condition):
-    with gevent.Timeout(_BOUND_S):
+    with gevent.Timeout(_TIMEOUT_S):
         while not condition():
             gevent.sleep(0.01)
 
 
 @pytest.fixture
-def ends():
+def make_endpoint():
     made = []
 
     def _make(name, key=_KEY):
-        made.append(_End(name, key))
+        made.append(_Endpoint(name, key))
         return made[-1]
 
     yield _make
@@ -117,53 +117,57 @@
         end.network.stop()
 
 
-def _through(ends):
-    """Returns (dialling end, accepting end, what stands between them)."""
-    near, far = ends("near"), ends("far")
-    middle = _Middle(far.port)
-    address = PeerAddress("far", _HOST, middle.port)
-    near.network.send(address, wire.Cancel("first", 1))
-    _wait(lambda: far.streams == ["first"])
-    return near, far, middle
+def _connect_through_proxy(make_endpoint):
+    """Returns a dialling endpoint, an accepting one and a proxy in between."""
+    dialler, acceptor = make_endpoint("near"), make_endpoint("far")
+    proxy = _Proxy(acceptor.port)
+    address = PeerAddress("far", _HOST, proxy.port)
+    dialler.network.send(address, wire.Cancel("first", 1))
+    _wait(lambda: acceptor.streams == ["first"])
+    return dialler, acceptor, proxy
 
 
-def test_peer_with_another_key_is_never_taken(ends):
-    """A machine that guesses the protocol cancels callers' streams."""
-    near, far = ends("near", b"another key that somebody made up"), ends("far")
-    near.network.send(far.address, wire.Cancel("first", 1))
-    _wait(lambda: far.refused() >= 1)
-    assert (far.ups, near.ups, far.streams) == (0, 0, [])
+def test_peer_with_another_key_is_rejected(make_endpoint):
+    """Guards against a peer without the shared key that cancels streams."""
+    dialler, acceptor = (
+        make_endpoint("near", b"another key that somebody made up"),
+        make_endpoint("far"),
+    )
+    dialler.network.send(acceptor.address, wire.Cancel("first", 1))
+    _wait(lambda: acceptor.refused() >= 1)
+    assert (acceptor.ups, dialler.ups, acceptor.streams) == (0, 0, [])
 
 
-def test_replayed_frame_is_refused_and_counted(ends):
-    """A stream ends twice, or a booking's call is sent again.
+def test_replayed_frame_is_refused_and_counted(make_endpoint):
+    """Guards against a frame that is handled twice.
 
-    Something between the two ends repeats a frame that it has seen.
+    A device between the two endpoints repeats a frame that it has seen, which
+    would for example run a call again.
     """
-    _, far, middle = _through(ends)
-    middle.to_server.sendall(middle.sent[-1])
-    _wait(lambda: far.metrics.value("frames_refused") >= 1)
-    assert far.streams == ["first"]
-    middle.stop()
+    _, acceptor, proxy = _connect_through_proxy(make_endpoint)
+    proxy.to_server.sendall(proxy.sent[-1])
+    _wait(lambda: acceptor.metrics.value("frames_refused") >= 1)
+    assert acceptor.streams == ["first"]
+    proxy.stop()
 
 
-def test_reflected_frame_is_refused_and_counted(ends):
-    """An end takes its own message for the other's."""
-    near, _, middle = _through(ends)
-    middle.to_client.sendall(middle.sent[-1])
-    _wait(lambda: near.metrics.value("frames_refused") >= 1)
-    assert near.streams == []
-    middle.stop()
+def test_reflected_frame_is_refused_and_counted(make_endpoint):
+    """Guards against an endpoint that accepts its own frame from the peer."""
+    dialler, _, proxy = _connect_through_proxy(make_endpoint)
+    proxy.to_client.sendall(proxy.sent[-1])
+    _wait(lambda: dialler.metrics.value("frames_refused") >= 1)
+    assert dialler.streams == []
+    proxy.stop()
 
 
-def test_frame_with_one_changed_bit_is_refused_and_counted(ends):
-    _, far, middle = _through(ends)
-    forged = bytearray(middle.sent[-1])
+def test_frame_with_one_changed_bit_is_refused_and_counted(make_endpoint):
+    _, acceptor, proxy = _connect_through_proxy(make_endpoint)
+    forged = bytearray(proxy.sent[-1])
     forged[-1] ^= 1
-    middle.to_server.sendall(bytes(forged))
-    _wait(lambda: far.metrics.value("frames_refused") >= 1)
-    assert far.streams == ["first"]
-    middle.stop()
+    proxy.to_server.sendall(bytes(forged))
+    _wait(lambda: acceptor.metrics.value("frames_refused") >= 1)
+    assert acceptor.streams == ["first"]
+    proxy.stop()
 
 
 @pytest.mark.parametrize(
@@ -175,22 +179,22 @@
         _HEADER.pack(0, bytes(16)),
         b"GET / HTTP/1.1\r\nHost: a\r\n\r\n",
     ],
-    ids=["over-long", "largest", "garbage", "empty", "http"],
+    ids=["oversized", "largest", "garbage", "empty", "http"],
 )
-def test_garbage_hello_is_refused_and_counted(ends, data):
-    """Memory fills up, or the process dies, at a port scanner's bytes."""
-    far = ends("far")
-    with plain_socket.create_connection((_HOST, far.port)) as raw:
+def test_garbage_hello_is_refused_and_counted(make_endpoint, data):
+    """Guards against arbitrary bytes that exhaust memory or cause a crash."""
+    acceptor = make_endpoint("far")
+    with plain_socket.create_connection((_HOST, acceptor.port)) as raw:
         raw.sendall(data)
-        _wait(lambda: far.refused() >= 1)
-    near = ends("near")
-    near.network.send(far.address, wire.Cancel("after", 1))
-    _wait(lambda: far.streams == ["after"])
-
-
-def test_over_long_frame_after_the_handshake_is_refused(ends):
-    _, far, middle = _through(ends)
-    middle.to_server.sendall(_HEADER.pack(MAX_FRAME_BYTES + 1, bytes(16)))
-    _wait(lambda: far.metrics.value("frames_refused") >= 1)
-    assert far.streams == ["first"]
-    middle.stop()
+        _wait(lambda: acceptor.refused() >= 1)
+    dialler = make_endpoint("near")
+    dialler.network.send(acceptor.address, wire.Cancel("after", 1))
+    _wait(lambda: acceptor.streams == ["after"])
+
+
+def test_oversized_frame_after_the_handshake_is_refused(make_endpoint):
+    _, acceptor, proxy = _connect_through_proxy(make_endpoint)
+    proxy.to_server.sendall(_HEADER.pack(MAX_FRAME_BYTES + 1, bytes(16)))
+    _wait(lambda: acceptor.metrics.value("frames_refused") >= 1)
+    assert acceptor.streams == ["first"]
+    proxy.stop()
--- a/caroblug/transport/tests/test_http.py
+++ b/caroblug/transport/tests/test_http.py
@@ -1,4 +1,4 @@
-"""Calls over HTTP that must not be sent twice."""
+"""Tests that an HTTP request is sent at most once."""
 
 import gevent
 import pytest
@@ -10,7 +10,7 @@
 
 
 class _Service:
-    """Counts requests and closes each connection without an answer."""
+    """Counts requests and closes each connection, by default unanswered."""
 
     def __init__(self, answer=b""):
         self.requests = 0
@@ -37,16 +37,17 @@
 
 def _once(port, method, may_send=lambda: True):
     arguments = ("127.0.0.1", port, 2000, method, "/seats", b"", {}, may_send)
-    # The programs patch sockets; here a thread lets the server run meanwhile.
+    # The programs monkey-patch sockets. Here sockets are not patched, so the
+    # request runs in a thread and does not block the server.
     return gevent.get_hub().threadpool.apply(request_once, arguments)
 
 
 @pytest.mark.parametrize("method", ["PUT", "DELETE", "GET", "POST"])
-def test_broken_connection_is_never_sent_again(method):
-    """A delivery is confirmed twice by one call.
+def test_request_is_not_resent_after_a_broken_connection(method):
+    """Guards against a service that runs one request twice.
 
-    The service runs the call and dies before its answer; the HTTP client
-    believes that PUT may always be sent again, and does so by itself.
+    The service closes the connection before it responds, and an HTTP client
+    that treats PUT as idempotent resends the request by itself.
     """
     with _Service() as service:
         answer = _once(service.port, method)
@@ -55,14 +56,14 @@
         assert service.requests == 1
 
 
-def test_answer_is_passed_on():
+def test_response_is_returned():
     with _Service(_ANSWER) as service:
         answer = _once(service.port, "PUT")
         assert isinstance(answer, HttpResponse)
         assert (answer.status, answer.body) == (201, b"ok")
 
 
-def test_not_sent_is_said_only_before_the_first_byte():
+def test_failure_is_marked_not_sent_only_before_the_first_byte():
     with _Service(_ANSWER) as service:
         late = _once(service.port, "PUT", lambda: False)
         assert not late.sent
