--- a/caroblug/side/_at_most_once.py
+++ b/caroblug/side/_at_most_once.py
@@ -32,12 +32,12 @@
 from caroblug.utils import Clock, Metrics, Ran, RefusalType, log_state
 
 _RETRY_AFTER_MS = 1000
-_KEPT_BODY_BYTES = 16 * 1024
-_REPLAYED = ("Idempotent-Replayed", "true")
+_MAX_STORED_BODY_BYTES = 16 * 1024
+_REPLAYED_HEADER = ("Idempotent-Replayed", "true")
 _DIGEST_BYTES = 20
 _MS_PER_S = 1000
 _SERVICE_TIMEOUT_MS = 60_000
-_WRITER_BYTES = 6
+_WRITER_ID_BYTES = 6
 
 
 class AtMostOnceCaller(PlainCaller):
@@ -61,7 +61,7 @@
         self._direct = direct
         self._journal = journal
         self._metrics = metrics
-        self._results: dict[IntentId, event.AsyncResult] = {}
+        self._pending_replies: dict[IntentId, event.AsyncResult] = {}
 
     @property
     def pending(self) -> int:
@@ -105,36 +105,38 @@
         if isinstance(admitted, Replayed):
             return _replay(call, admitted.outcome)
         if isinstance(admitted, Kept):
-            return self._replay_kept(call, admitted)
+            return self._replay_from_log(call, admitted)
         if isinstance(admitted, Conflict):
-            return _conflict(call)
+            return _refuse_conflict(call)
         if isinstance(admitted, Undecided):
-            return _undecided(call)
-        return self._unavailable(call)
+            return _refuse_undecided(call)
+        return self._refuse_unavailable(call)
 
     def _start(
         self, call: wire.PlainCall, key: bytes, request: bytes, intent: IntentId
     ) -> wire.PlainReply:
         result: event.AsyncResult = event.AsyncResult()
-        self._results[intent] = result
+        self._pending_replies[intent] = result
         try:
             verdict = self._journal.wait_verdict(intent)
             self._metrics.count("call_verdicts", verdict=verdict.name.lower())
             if verdict is Verdict.WON:
                 reply = self._run(call, key, intent)
             elif verdict is Verdict.GIVEN_UP:
-                reply = self._unavailable(call)
+                reply = self._refuse_unavailable(call)
             else:
-                reply = self._on_lost(call, key, request)
+                reply = self._resolve_lost_intent(call, key, request)
             result.set(reply)
         finally:
-            del self._results[intent]
+            del self._pending_replies[intent]
         return reply
 
     def _run(
         self, call: wire.PlainCall, key: bytes, intent: IntentId
     ) -> wire.PlainReply:
-        reply = self._direct.call_once(call, lambda: self._journal.begin(key))
+        reply = self._direct.call_at_most_once(
+            call, lambda: self._journal.begin(key)
+        )
         ran = Ran(reply.ran)
         if ran is Ran.NO:
             self._journal.cancel(key)
@@ -144,26 +146,28 @@
 
     def _join(self, call: wire.PlainCall, intent: IntentId) -> wire.PlainReply:
         """Waits for the same request's answer, as long as the call may."""
-        result = self._results.get(intent)
+        result = self._pending_replies.get(intent)
         reply = None
         if result is not None:
             reply = result.wait(call.deadline_ms / _MS_PER_S)
         if reply is None:
-            return _undecided(call)
+            return _refuse_undecided(call)
         return _copy_reply(call, reply)
 
-    def _on_lost(
+    def _resolve_lost_intent(
         self, call: wire.PlainCall, key: bytes, request: bytes
     ) -> wire.PlainReply:
         state = self._journal.lookup(key)
         if state is not None and state.request != request:
-            return _conflict(call)
+            return _refuse_conflict(call)
         if state is not None and state.outcome is OutcomeKind.ANSWERED:
-            return self._replay_kept(call, Kept(state))
-        return _undecided(call)
+            return self._replay_from_log(call, Kept(state))
+        return _refuse_undecided(call)
 
-    def _replay_kept(self, call: wire.PlainCall, kept: Kept) -> wire.PlainReply:
-        outcome = self._journal.answer(kept.state)
+    def _replay_from_log(
+        self, call: wire.PlainCall, kept: Kept
+    ) -> wire.PlainReply:
+        outcome = self._journal.read_outcome(kept.state)
         if outcome is not None:
             return _replay(call, outcome)
         return refuse_call(
@@ -174,7 +178,7 @@
             _RETRY_AFTER_MS,
         )
 
-    def _unavailable(self, call: wire.PlainCall) -> wire.PlainReply:
+    def _refuse_unavailable(self, call: wire.PlainCall) -> wire.PlainReply:
         """Says that nothing was begun, or that the past is not known.
 
         An owner that has never read the log to its end does not know whether
@@ -197,7 +201,7 @@
         return CallOutcome(intent, key, OutcomeKind.UNKNOWN)
     body = reply.body or b""
     digest = ""
-    if len(body) > _KEPT_BODY_BYTES:
+    if len(body) > _MAX_STORED_BODY_BYTES:
         digest = hashlib.blake2b(body, digest_size=_DIGEST_BYTES).hexdigest()
         body = b""
     headers = tuple((h.name, h.value) for h in reply.headers or ())
@@ -218,12 +222,14 @@
             call,
             RefusalType.ANSWER_NOT_KEPT,
             f"the call has run; its answer of status {outcome.status} is"
-            f" over {_KEPT_BODY_BYTES} bytes and was not kept;"
+            f" over {_MAX_STORED_BODY_BYTES} bytes and was not kept;"
             f" its digest is {outcome.body_digest}",
             Ran.YES,
             retry_after_ms=0,
         )
-    headers = [wire.Header(n, v) for n, v in (*outcome.headers, _REPLAYED)]
+    headers = [
+        wire.Header(n, v) for n, v in (*outcome.headers, _REPLAYED_HEADER)
+    ]
     return wire.PlainReply(
         call=call.call,
         status=outcome.status,
@@ -248,7 +254,7 @@
     )
 
 
-def _conflict(call: wire.PlainCall) -> wire.PlainReply:
+def _refuse_conflict(call: wire.PlainCall) -> wire.PlainReply:
     return refuse_call(
         call,
         RefusalType.KEY_CONFLICT,
@@ -258,7 +264,7 @@
     )
 
 
-def _undecided(call: wire.PlainCall) -> wire.PlainReply:
+def _refuse_undecided(call: wire.PlainCall) -> wire.PlainReply:
     return refuse_call(
         call,
         RefusalType.OUTCOME_UNKNOWN,
@@ -279,7 +285,7 @@
     journal = make_journal(
         make_log_service(settings.log.host, settings.log.port),
         plain.service,
-        f"{settings.instance}.{secrets.token_hex(_WRITER_BYTES)}",
+        f"{settings.instance}.{secrets.token_hex(_WRITER_ID_BYTES)}",
         clock,
         metrics,
         JournalSettings(settings.intent_interval_ms),
--- a/caroblug/side/_batch_scheduler.py
+++ b/caroblug/side/_batch_scheduler.py
@@ -15,7 +15,11 @@
     ItemQueue,
     make_queue,
 )
-from caroblug.side._engine_occupancy import NORMAL, OVERTAKING, EngineOccupancy
+from caroblug.side._engine_occupancy import (
+    NORMAL_PRIORITY,
+    OVERTAKING_PRIORITY,
+    EngineOccupancy,
+)
 from caroblug.transport import (
     EngineClient,
     EngineFailure,
@@ -24,26 +28,26 @@
 )
 from caroblug.utils import Clock, Metrics
 
-NEVER_MS = sys.maxsize
+NO_DEADLINE_MS = sys.maxsize
 
 _CHUNKS_PER_BATCH = 2
-_BATCHES_AHEAD = 2
-_OVERTAKING_CALLS = 16
-_PAID_COST = 1e-9
-_EAGER_CALLS = 4
-_GATHER_S = 0.002
-_STEP_POSITIONS = 2
+_MAX_BATCHES_IN_ENGINE = 2
+_MAX_OVERTAKING_CALLS = 16
+_CHARGED_COST = 1e-9
+_MAX_EAGER_CALLS = 4
+_GATHER_DELAY_S = 0.002
+_MAX_STEP_POSITIONS = 2
 
 
 @attrs.define
-class _Waiting:
+class _QueuedItem:
     item: EngineItem
     client_account: str
     cost: float
     weight: float
-    since_ms: int
-    end_ms: int
-    alone: bool
+    queued_ms: int
+    expires_ms: int
+    isolated: bool
 
 
 class BatchScheduler:
@@ -83,32 +87,32 @@
         self._record_wait_ms = metrics.recorder("queue_wait")
         self._on_results = on_results
         self._on_failed = on_failed
-        self._queue: ItemQueue[_Waiting] = make_queue(queue)
-        self._suspects: IsolationQueue[_Waiting] = IsolationQueue()
+        self._queue: ItemQueue[_QueuedItem] = make_queue(queue)
+        self._suspects: IsolationQueue[_QueuedItem] = IsolationQueue()
         self._weights = AccountWeights()
-        self._inside = EngineOccupancy()
-        self._held: dict[str, collections.deque[_Waiting]] = {}
-        self._ended: list[str] = []
-        self._dropped: set[str] = set()
+        self._occupancy = EngineOccupancy()
+        self._held_items: dict[str, collections.deque[_QueuedItem]] = {}
+        self._ended_sessions: list[str] = []
+        self._dropped_sessions: set[str] = set()
         self._wake = event.Event()
-        self._calls = 0
-        self._positions_waiting = 0
+        self._running_calls = 0
+        self._queued_positions = 0
 
     @property
     def waiting(self) -> int:
         """Items that wait."""
         queued = len(self._queue) + len(self._suspects)
-        return queued + sum(len(h) for h in self._held.values())
+        return queued + sum(len(h) for h in self._held_items.values())
 
     @property
     def running(self) -> int:
         """Items in the engine."""
-        return self._inside.items
+        return self._occupancy.items
 
     @property
     def backlog(self) -> int:
         """Positions that wait or are in the engine."""
-        return self._positions_waiting + self._inside.positions
+        return self._queued_positions + self._occupancy.positions
 
     @property
     def chunk(self) -> int:
@@ -116,9 +120,9 @@
         return max(1, self.batch // _CHUNKS_PER_BATCH)
 
     @property
-    def in_engine(self) -> Mapping[str, int]:
+    def sessions_in_engine(self) -> Mapping[str, int]:
         """Sessions in the engine, with one past their last position there."""
-        return self._inside.sessions
+        return self._occupancy.sessions
 
     @property
     def client_accounts(self) -> int:
@@ -127,8 +131,8 @@
 
     def start(self) -> None:
         """Starts one greenlet for each call that may be under way."""
-        for _ in range(self.batches + _OVERTAKING_CALLS):
-            gevent.spawn(self._work)
+        for _ in range(self.batches + _MAX_OVERTAKING_CALLS):
+            gevent.spawn(self._work_forever)
 
     def submit(
         self,
@@ -136,10 +140,10 @@
         item: EngineItem,
         cost: float,
         weight: float,
-        end_ms: int = NEVER_MS,
+        expires_ms: int = NO_DEADLINE_MS,
         *,
-        most_weight: float = 1.0,
-        alone: bool = False,
+        max_weight: float = 1.0,
+        isolated: bool = False,
     ) -> None:
         """Queues an item, a long one in chunks.
 
@@ -154,58 +158,61 @@
             item: The item.
             cost: Its cost in weighted tokens, > 0.
             weight: Weight of one of the account's streams, > 0.
-            end_ms: Time after which it is of no use.
-            most_weight: The account's own weight, > 0.
-            alone: Whether nothing else may be in the engine with it.
+            expires_ms: Time after which it is of no use.
+            max_weight: The account's own weight, > 0.
+            isolated: Whether nothing else may be in the engine with it.
         """
         account_weight = self._weights.on_stream(
-            client_account, item.session, weight, most_weight
+            client_account, item.session, weight, max_weight
         )
         length = len(item.inputs)
-        self._positions_waiting += length
+        self._queued_positions += length
         now_ms = self._clock.now_ms()
-        for part in _parts_of(item, self.chunk):
-            self._hold(
-                _Waiting(
+        for part in _split_into_chunks(item, self.chunk):
+            self._queue_or_hold(
+                _QueuedItem(
                     part,
                     client_account,
                     cost * len(part.inputs) / length,
                     account_weight,
                     now_ms,
-                    end_ms,
-                    alone,
+                    expires_ms,
+                    isolated,
                 )
             )
 
     def end(self, session: str) -> None:
         """Drops what waits of a stream and lets the engine free its cache."""
-        held = self._held.get(session)
+        held = self._held_items.get(session)
         if held is not None:
-            self._dropped.add(session)
-            self._positions_waiting -= sum(len(w.item.inputs) for w in held)
+            self._dropped_sessions.add(session)
+            self._queued_positions -= sum(len(w.item.inputs) for w in held)
             held.clear()
         self._weights.on_end(session)
-        self._ended.append(session)
+        self._ended_sessions.append(session)
         self._wake.set()
 
-    def _hold(self, waiting: _Waiting) -> None:
-        held = self._held.get(waiting.item.session)
+    def _queue_or_hold(self, queued_item: _QueuedItem) -> None:
+        held = self._held_items.get(queued_item.item.session)
         if held is not None:
-            held.append(waiting)
+            held.append(queued_item)
             return
-        self._held[waiting.item.session] = collections.deque()
-        self._enqueue(waiting)
+        self._held_items[queued_item.item.session] = collections.deque()
+        self._enqueue(queued_item)
 
-    def _enqueue(self, waiting: _Waiting) -> None:
-        if waiting.alone:
-            self._suspects.put(waiting)
+    def _enqueue(self, queued_item: _QueuedItem) -> None:
+        if queued_item.isolated:
+            self._suspects.put(queued_item)
         else:
             self._queue.put(
-                waiting.client_account, waiting, waiting.cost, waiting.weight
+                queued_item.client_account,
+                queued_item,
+                queued_item.cost,
+                queued_item.weight,
             )
         self._wake.set()
 
-    def _work(self) -> None:
+    def _work_forever(self) -> None:
         """Makes one call after the other.
 
         A step goes to the engine at once while few calls are under way: held
@@ -219,33 +226,33 @@
         """
         while True:
             self._wake.wait()
-            if self._calls >= _EAGER_CALLS:
-                gevent.sleep(_GATHER_S)
-            items = self._take()
-            if not items and not self._ended:
+            if self._running_calls >= _MAX_EAGER_CALLS:
+                gevent.sleep(_GATHER_DELAY_S)
+            items = self._next_items()
+            if not items and not self._ended_sessions:
                 self._wake.clear()
                 continue
             # Counted before any other greenlet takes more.
-            self._inside.begin(items)
-            steps = [i for i in items if len(i.inputs) <= _STEP_POSITIONS]
-            chunks = [i for i in items if len(i.inputs) > _STEP_POSITIONS]
+            self._occupancy.begin_call(items)
+            steps = [i for i in items if len(i.inputs) <= _MAX_STEP_POSITIONS]
+            chunks = [i for i in items if len(i.inputs) > _MAX_STEP_POSITIONS]
             if chunks:
                 gevent.spawn(self._call, chunks)
-            if steps or self._ended:
+            if steps or self._ended_sessions:
                 self._call(steps)
 
     def _call(self, items: Sequence[EngineItem]) -> None:
-        self._calls += 1
+        self._running_calls += 1
         self._run(items)
-        self._calls -= 1
+        self._running_calls -= 1
         self._wake.set()
 
     def _run(self, items: Sequence[EngineItem]) -> None:
-        ended, self._ended = self._ended, []
+        ended, self._ended_sessions = self._ended_sessions, []
         positions = sum(len(item.inputs) for item in items)
         outcome = self._engine.run(items, ended)
-        in_engine = self.in_engine
-        self._inside.end(items)
+        sessions_in_engine = self.sessions_in_engine
+        self._occupancy.end_call(items)
         self._metrics.count("engine_batches")
         self._metrics.count("engine_items", len(items))
         self._metrics.count("engine_positions", positions)
@@ -253,46 +260,55 @@
             # A call that only ends sessions may return while a suspect runs.
             self._suspects.on_done()
         if isinstance(outcome, EngineFailure):
-            self._fail(items, in_engine, outcome)
+            self._on_call_failed(items, sessions_in_engine, outcome)
         else:
-            self._finish(items, outcome)
+            self._on_call_done(items, outcome)
 
-    def _take(self) -> list[EngineItem]:
+    def _next_items(self) -> list[EngineItem]:
         """Takes a batch in fair order, or a suspect's item alone."""
         source = self._suspects.next_source(
-            self._inside.items, len(self._queue)
+            self._occupancy.items, len(self._queue)
         )
         if source is BatchSource.NONE:
             return []
         if source is BatchSource.SUSPECT:
-            return self._take_suspect()
-        return self._take_batch()
+            return self._next_suspect()
+        return self._next_batch()
 
-    def _take_suspect(self) -> list[EngineItem]:
-        waiting = self._suspects.get()
-        if self._is_wanted(waiting):
-            return [waiting.item]
+    def _next_suspect(self) -> list[EngineItem]:
+        queued_item = self._suspects.get()
+        if self._should_run(queued_item):
+            return [queued_item.item]
         self._suspects.on_done()
         return []
 
-    def _take_batch(self) -> list[EngineItem]:
+    def _next_batch(self) -> list[EngineItem]:
         """Takes what fits into one batch and into the engine.
 
         An item that does not fit whole is cut: were it sent whole, the engine
         would run its end in another batch, and the call's other results would
         wait for that.
         """
-        ahead = self.batch * _BATCHES_AHEAD
-        if self._inside.positions_of(NORMAL):
-            room = ahead - self._inside.positions_of(OVERTAKING)
-            room = min(self.batch, room)
-            items = self._take_items(room, OVERTAKING)
+        max_positions = self.batch * _MAX_BATCHES_IN_ENGINE
+        if self._occupancy.positions_with_priority(NORMAL_PRIORITY):
+            free_positions = (
+                max_positions
+                - self._occupancy.positions_with_priority(OVERTAKING_PRIORITY)
+            )
+            free_positions = min(self.batch, free_positions)
+            items = self._dequeue_items(free_positions, OVERTAKING_PRIORITY)
             if items:
                 return items
-        room = min(self.batch, ahead - self._inside.positions_of(NORMAL))
-        return self._take_items(room, NORMAL)
+        free_positions = min(
+            self.batch,
+            max_positions
+            - self._occupancy.positions_with_priority(NORMAL_PRIORITY),
+        )
+        return self._dequeue_items(free_positions, NORMAL_PRIORITY)
 
-    def _take_items(self, room: int, priority: int) -> list[EngineItem]:
+    def _dequeue_items(
+        self, free_positions: int, priority: int
+    ) -> list[EngineItem]:
         """Takes items in fair order.
 
         Guards against a light account that waits behind the batches which a
@@ -302,121 +318,125 @@
         not mixed with others in a call, which is answered as a whole.
         """
         items: list[EngineItem] = []
-        while len(self._queue) and room > 0:
-            if priority == OVERTAKING:
-                waiting = self._queue.get_excluding(
-                    self._inside.has_half_of_heaviest
+        while len(self._queue) and free_positions > 0:
+            if priority == OVERTAKING_PRIORITY:
+                queued_item = self._queue.get_excluding(
+                    self._occupancy.has_half_of_heaviest
                 )
             else:
-                waiting = self._queue.get()
-            if waiting is None:
+                queued_item = self._queue.get()
+            if queued_item is None:
                 break
-            if not self._is_wanted(waiting):
+            if not self._should_run(queued_item):
                 continue
-            item = waiting.item
-            if len(item.inputs) > room:
-                item = self._cut(waiting, room)
-            self._inside.take(
-                waiting.client_account, item.session, len(item.inputs)
+            item = queued_item.item
+            if len(item.inputs) > free_positions:
+                item = self._split_item(queued_item, free_positions)
+            self._occupancy.add_item(
+                queued_item.client_account, item.session, len(item.inputs)
             )
             items.append(attrs.evolve(item, priority=priority))
-            room -= len(item.inputs)
-        if room > 0 and priority == NORMAL:
-            self._extend(items, room)
+            free_positions -= len(item.inputs)
+        if free_positions > 0 and priority == NORMAL_PRIORITY:
+            self._add_held_chunks(items, free_positions)
         return items
 
-    def _extend(self, items: list[EngineItem], room: int) -> None:
+    def _add_held_chunks(
+        self, items: list[EngineItem], free_positions: int
+    ) -> None:
         """Adds held chunks to their streams' items: nobody else waits."""
         for index, item in enumerate(items):
-            held = self._held[item.session]
-            while held and len(held[0].item.inputs) <= room:
-                more = held.popleft().item.inputs
-                room -= len(more)
-                self._positions_waiting -= len(more)
-                self._inside.extend(item.session, len(more))
-                item = attrs.evolve(item, inputs=item.inputs + more)
+            held = self._held_items[item.session]
+            while held and len(held[0].item.inputs) <= free_positions:
+                added = held.popleft().item.inputs
+                free_positions -= len(added)
+                self._queued_positions -= len(added)
+                self._occupancy.extend_item(item.session, len(added))
+                item = attrs.evolve(item, inputs=item.inputs + added)
             items[index] = item
 
-    def _cut(self, waiting: _Waiting, room: int) -> EngineItem:
+    def _split_item(
+        self, queued_item: _QueuedItem, free_positions: int
+    ) -> EngineItem:
         """Returns the part that fits; the rest is the stream's next unit."""
-        item = waiting.item
-        rest = attrs.evolve(
-            waiting,
-            item=_part_of(item, room, len(item.inputs)),
-            cost=_PAID_COST,
+        item = queued_item.item
+        remainder = attrs.evolve(
+            queued_item,
+            item=_slice_item(item, free_positions, len(item.inputs)),
+            cost=_CHARGED_COST,
         )
-        self._held[item.session].appendleft(rest)
-        self._positions_waiting += len(rest.item.inputs)
-        return _part_of(item, 0, room)
+        self._held_items[item.session].appendleft(remainder)
+        self._queued_positions += len(remainder.item.inputs)
+        return _slice_item(item, 0, free_positions)
 
-    def _is_wanted(self, waiting: _Waiting) -> bool:
+    def _should_run(self, queued_item: _QueuedItem) -> bool:
         """Tells whether an item still is to run; lets go of it if not.
 
         Guards against work for a caller that no longer waits: an item past
         its deadline would cost the engine as much as a useful one.
         """
         now_ms = self._clock.now_ms()
-        self._record_wait_ms(now_ms - waiting.since_ms)
-        self._positions_waiting -= len(waiting.item.inputs)
-        session = waiting.item.session
-        if session in self._dropped:
-            self._release(session)
+        self._record_wait_ms(now_ms - queued_item.queued_ms)
+        self._queued_positions -= len(queued_item.item.inputs)
+        session = queued_item.item.session
+        if session in self._dropped_sessions:
+            self._queue_next(session)
             return False
-        if now_ms >= waiting.end_ms:
+        if now_ms >= queued_item.expires_ms:
             self._metrics.count("items_expired")
             self._drop_held(session)
             return False
         return True
 
-    def _finish(
+    def _on_call_done(
         self, items: Sequence[EngineItem], results: Sequence[EngineResult]
     ) -> None:
-        wanted = [r for r in results if r.session not in self._dropped]
+        wanted = [r for r in results if r.session not in self._dropped_sessions]
         for item in items:
-            self._release(item.session)
+            self._queue_next(item.session)
         self._on_results(wanted)
 
-    def _fail(
+    def _on_call_failed(
         self,
         items: Sequence[EngineItem],
-        in_engine: Mapping[str, int],
+        sessions_in_engine: Mapping[str, int],
         failed: EngineFailure,
     ) -> None:
         for item in items:
             self._drop_held(item.session)
-        self._on_failed(in_engine, failed)
+        self._on_failed(sessions_in_engine, failed)
 
     def _drop_held(self, session: str) -> None:
-        for waiting in self._held.pop(session, ()):
-            self._positions_waiting -= len(waiting.item.inputs)
-        self._dropped.discard(session)
+        for queued_item in self._held_items.pop(session, ()):
+            self._queued_positions -= len(queued_item.item.inputs)
+        self._dropped_sessions.discard(session)
 
-    def _release(self, session: str) -> None:
+    def _queue_next(self, session: str) -> None:
         """Lets the stream's next unit be queued."""
-        held = self._held.get(session)
-        if session in self._dropped:
-            self._dropped.discard(session)
+        held = self._held_items.get(session)
+        if session in self._dropped_sessions:
+            self._dropped_sessions.discard(session)
             if held is not None and not held:
-                del self._held[session]
+                del self._held_items[session]
                 return
         if not held:
-            self._held.pop(session, None)
+            self._held_items.pop(session, None)
             return
         self._enqueue(held.popleft())
 
 
-def _parts_of(item: EngineItem, chunk: int) -> list[EngineItem]:
+def _split_into_chunks(item: EngineItem, chunk: int) -> list[EngineItem]:
     """Returns an item cut into parts of at most `chunk` positions."""
     length = len(item.inputs)
     if length <= chunk:
         return [item]
     return [
-        _part_of(item, start, start + chunk)
+        _slice_item(item, start, start + chunk)
         for start in range(0, length, chunk)
     ]
 
 
-def _part_of(item: EngineItem, start: int, end: int) -> EngineItem:
+def _slice_item(item: EngineItem, start: int, end: int) -> EngineItem:
     """Returns the part of an item from one input to another."""
     return attrs.evolve(
         item,
--- a/caroblug/side/_engine_occupancy.py
+++ b/caroblug/side/_engine_occupancy.py
@@ -5,8 +5,8 @@
 
 from caroblug.transport import EngineItem
 
-OVERTAKING = 0
-NORMAL = 1
+OVERTAKING_PRIORITY = 0
+NORMAL_PRIORITY = 1
 
 
 class EngineOccupancy:
@@ -15,9 +15,11 @@
     def __init__(self) -> None:
         self.items = 0
         self._positions: collections.Counter[int] = collections.Counter()
-        self._ends: dict[str, int] = {}
+        self._session_ends: dict[str, int] = {}
         self._account_of: dict[str, str] = {}
-        self._by_account: collections.Counter[str] = collections.Counter()
+        self._positions_by_account: collections.Counter[str] = (
+            collections.Counter()
+        )
 
     @property
     def positions(self) -> int:
@@ -27,42 +29,44 @@
     @property
     def sessions(self) -> Mapping[str, int]:
         """Sessions in the engine, with one past their last position there."""
-        return dict(self._ends)
+        return dict(self._session_ends)
 
-    def positions_of(self, priority: int) -> int:
+    def positions_with_priority(self, priority: int) -> int:
         """Returns the positions in the engine in calls of a priority."""
         return self._positions[priority]
 
     def has_half_of_heaviest(self, client_account: str) -> bool:
         """Tells whether an account has half of what the heaviest has."""
-        heaviest = max(self._by_account.values(), default=0)
-        return 2 * self._by_account[client_account] >= heaviest
+        heaviest = max(self._positions_by_account.values(), default=0)
+        return 2 * self._positions_by_account[client_account] >= heaviest
 
-    def take(self, client_account: str, session: str, positions: int) -> None:
+    def add_item(
+        self, client_account: str, session: str, positions: int
+    ) -> None:
         """Counts an item that is about to go in."""
-        self._by_account[client_account] += positions
+        self._positions_by_account[client_account] += positions
         self._account_of[session] = client_account
 
-    def extend(self, session: str, positions: int) -> None:
+    def extend_item(self, session: str, positions: int) -> None:
         """Counts more positions of an item that is about to go in."""
-        self._by_account[self._account_of[session]] += positions
+        self._positions_by_account[self._account_of[session]] += positions
 
-    def begin(self, items: Sequence[EngineItem]) -> None:
+    def begin_call(self, items: Sequence[EngineItem]) -> None:
         """Counts a call, all of whose items have one priority."""
         self.items += len(items)
         for item in items:
             self._positions[item.priority] += len(item.inputs)
-            self._ends[item.session] = item.position + len(item.inputs)
+            self._session_ends[item.session] = item.position + len(item.inputs)
 
-    def end(self, items: Sequence[EngineItem]) -> None:
+    def end_call(self, items: Sequence[EngineItem]) -> None:
         """Counts a call out that was answered, or was not."""
         self.items -= len(items)
         for item in items:
             self._positions[item.priority] -= len(item.inputs)
-            self._ends.pop(item.session, None)
+            self._session_ends.pop(item.session, None)
             account = self._account_of.pop(item.session, None)
             if account is None:
                 continue
-            self._by_account[account] -= len(item.inputs)
-            if not self._by_account[account]:
-                del self._by_account[account]
+            self._positions_by_account[account] -= len(item.inputs)
+            if not self._positions_by_account[account]:
+                del self._positions_by_account[account]
--- a/caroblug/side/_journal.py
+++ b/caroblug/side/_journal.py
@@ -25,14 +25,14 @@
 from caroblug.utils import Clock, Metrics, log_state
 
 _STREAM_PREFIX = "caroblug.calls."
-_READ_LIMIT = 500
-_WAIT_MS = 1000
-_FOLLOW_S = 0.1
-_LINGER_S = 0.05
-_RETRY_S = 0.2
-_RETRY_JITTER_S = 0.2
+_MAX_READ_RECORDS = 500
+_READ_WAIT_MS = 1000
+_FOLLOW_INTERVAL_S = 0.1
+_MAX_OUTCOME_DELAY_S = 0.05
+_RETRY_DELAY_S = 0.2
+_MAX_RETRY_JITTER_S = 0.2
 _MAX_INTERVAL_MS = 500
-_ANSWERS_BYTES = 4 * 1024 * 1024
+_MAX_CACHED_BYTES = 4 * 1024 * 1024
 _MS_PER_S = 1000
 
 
@@ -80,20 +80,20 @@
         self._settings = settings
         self._interval_ms = settings.interval_ms
         self._wake = event.Event()
-        self._urgent = event.Event()
+        self._intent_queued = event.Event()
         self._verdicts: dict[IntentId, event.AsyncResult] = {}
-        self._answers: collections.OrderedDict[IntentId, CallOutcome] = (
-            collections.OrderedDict()
-        )
-        self._answers_bytes = 0
+        self._cached_outcomes: collections.OrderedDict[
+            IntentId, CallOutcome
+        ] = collections.OrderedDict()
+        self._cached_bytes = 0
         self._caught_up = False
-        self._up = False
-        self._appended_ms = 0
+        self._log_up = False
+        self._last_append_ms = 0
 
     @property
     def ready(self) -> bool:
         """Whether the log answers and its end was reached once."""
-        return self._caught_up and self._up
+        return self._caught_up and self._log_up
 
     @property
     def caught_up(self) -> bool:
@@ -117,7 +117,7 @@
             now_ms, key, request, within_ms, log_up=self.ready
         )
         if isinstance(admitted, Started):
-            self._urgent.set()
+            self._intent_queued.set()
         self._wake.set()
         return admitted
 
@@ -143,7 +143,7 @@
 
     def finish(self, outcome: CallOutcome) -> None:
         """Records an outcome; the caller need not wait for it."""
-        self._keep(outcome)
+        self._cache_outcome(outcome)
         self._owner.finish(outcome)
         self._wake.set()
 
@@ -151,11 +151,11 @@
         """Returns what is remembered of a key."""
         return self._fold.lookup(key)
 
-    def answer(self, state: KeyState) -> CallOutcome | None:
+    def read_outcome(self, state: KeyState) -> CallOutcome | None:
         """Returns a recorded answer, from the log if need be."""
-        kept = self._answers.get(state.id)
-        if kept is not None:
-            return kept
+        cached = self._cached_outcomes.get(state.id)
+        if cached is not None:
+            return cached
         records = self._log.read(self._stream, state.outcome_offset, limit=1)
         if isinstance(records, LogUnavailable) or not records.records:
             return None
@@ -165,22 +165,22 @@
                 return entry
         return None
 
-    def _keep(self, outcome: CallOutcome) -> None:
-        self._answers[outcome.id] = outcome
-        self._answers_bytes += len(outcome.body)
-        while self._answers_bytes > _ANSWERS_BYTES:
-            _, oldest = self._answers.popitem(last=False)
-            self._answers_bytes -= len(oldest.body)
+    def _cache_outcome(self, outcome: CallOutcome) -> None:
+        self._cached_outcomes[outcome.id] = outcome
+        self._cached_bytes += len(outcome.body)
+        while self._cached_bytes > _MAX_CACHED_BYTES:
+            _, oldest = self._cached_outcomes.popitem(last=False)
+            self._cached_bytes -= len(oldest.body)
 
     def _write_forever(self) -> None:
         while True:
             self._wake.wait()
             # Outcomes wait a little for intents, whose callers wait: at a
             # low rate an outcome then shares the next call's append.
-            self._urgent.wait(_LINGER_S)
-            self._urgent.clear()
-            self._pace()
-            if not self._up and not self._probe():
+            self._intent_queued.wait(_MAX_OUTCOME_DELAY_S)
+            self._intent_queued.clear()
+            self._throttle()
+            if not self._log_up and not self._wait_for_log():
                 continue
             batch = self._owner.next_batch(self._clock.now_ms())
             if batch is None:
@@ -188,14 +188,16 @@
                 continue
             self._commit(batch)
 
-    def _probe(self) -> bool:
+    def _wait_for_log(self) -> bool:
         """Gives up what waits while the log is down, and waits for it."""
         self._resolve(self._owner.on_append_failed())
-        gevent.sleep(_RETRY_S)
-        return self._up
+        gevent.sleep(_RETRY_DELAY_S)
+        return self._log_up
 
-    def _pace(self) -> None:
-        wait_ms = self._appended_ms + self._interval_ms - self._clock.now_ms()
+    def _throttle(self) -> None:
+        wait_ms = (
+            self._last_append_ms + self._interval_ms - self._clock.now_ms()
+        )
         if wait_ms > 0:
             gevent.sleep(wait_ms / _MS_PER_S)
 
@@ -206,7 +208,7 @@
         the log is read from the last known offset before anything else, and
         the batch is never appended again.
         """
-        since_ms = self._appended_ms = self._clock.now_ms()
+        since_ms = self._last_append_ms = self._clock.now_ms()
         data = encode_batch(batch)
         outcome = self._log.append(self._stream, data)
         self._metrics.count("call_appends")
@@ -219,37 +221,39 @@
         else:
             self._metrics.count("log_failures", operation="append")
             self._interval_ms = min(_MAX_INTERVAL_MS, self._interval_ms * 2)
-        if not self._is_in(batch) and not self._read_back(batch):
-            self._set_up(False, "append failed")
+        if not self._is_on_log(batch) and not self._read_until_found(batch):
+            self._set_log_up(False, "append failed")
             self._resolve(self._owner.on_append_failed())
 
-    def _is_in(self, batch: CallBatch) -> bool:
+    def _is_on_log(self, batch: CallBatch) -> bool:
         return self._fold.has_batch(batch.writer, batch.sequence)
 
-    def _read_back(self, batch: CallBatch) -> bool:
+    def _read_until_found(self, batch: CallBatch) -> bool:
         """Reads to the log's end and tells whether the batch is there."""
-        while not self._is_in(batch):
+        while not self._is_on_log(batch):
             at_end = self._read(wait_ms=0)
             if at_end is not False:
                 break
-        return self._is_in(batch)
+        return self._is_on_log(batch)
 
     def _follow_forever(self) -> None:
         while True:
-            at_end = self._read(_WAIT_MS if self._caught_up else 0)
+            at_end = self._read(_READ_WAIT_MS if self._caught_up else 0)
             if at_end is None:
-                self._set_up(False, "read failed")
-                gevent.sleep(_RETRY_S + random.random() * _RETRY_JITTER_S)
+                self._set_log_up(False, "read failed")
+                gevent.sleep(
+                    _RETRY_DELAY_S + random.random() * _MAX_RETRY_JITTER_S
+                )
                 continue
-            self._set_up(True, "read")
+            self._set_log_up(True, "read")
             if at_end:
                 self._caught_up = True
-                gevent.sleep(_FOLLOW_S)
+                gevent.sleep(_FOLLOW_INTERVAL_S)
 
     def _read(self, wait_ms: int) -> bool | None:
         """Reads and folds; None if the log failed, else whether at its end."""
         records = self._log.read(
-            self._stream, self._fold.next_offset, _READ_LIMIT, wait_ms
+            self._stream, self._fold.next_offset, _MAX_READ_RECORDS, wait_ms
         )
         if isinstance(records, LogUnavailable):
             self._metrics.count("log_failures", operation="read")
@@ -267,16 +271,16 @@
         self._metrics.gauge("call_keys", len(self._fold))
 
     def _resolve(self, decided: list[Decided]) -> None:
-        for one in decided:
-            result = self._verdicts.setdefault(one.id, event.AsyncResult())
-            result.set(one.verdict)
+        for decision in decided:
+            result = self._verdicts.setdefault(decision.id, event.AsyncResult())
+            result.set(decision.verdict)
         if self._owner.waiting:
             self._wake.set()
 
-    def _set_up(self, up: bool, cause: str) -> None:
-        if up != self._up:
+    def _set_log_up(self, up: bool, cause: str) -> None:
+        if up != self._log_up:
             log_state("calls.log", up=up, cause=cause)
-        self._up = up
+        self._log_up = up
 
     def set_window(self, window_ms: int) -> None:
         """Sets for how long a key is remembered."""
--- a/caroblug/side/_lease.py
+++ b/caroblug/side/_lease.py
@@ -12,7 +12,7 @@
 from caroblug.utils import Clock
 
 _STREAM_PREFIX = "caroblug.leases."
-_SHARDS = 64
+_STREAM_SHARDS = 64
 
 
 class EngineLease:
@@ -21,7 +21,7 @@
     Args:
         log: The log service.
         engine: Name of the engine.
-        holder: Identity of this life of this process.
+        holder_id: Identity of this life of this process.
         clock: Source of time.
         term_ms: How long a lease lasts.
     """
@@ -30,25 +30,25 @@
         self,
         log: LogService,
         engine: str,
-        holder: str,
+        holder_id: str,
         clock: Clock,
         term_ms: int,
     ) -> None:
         self._log = log
-        shard = xxhash.xxh32_intdigest(engine.encode()) % _SHARDS
+        shard = xxhash.xxh32_intdigest(engine.encode()) % _STREAM_SHARDS
         self._stream = f"{_STREAM_PREFIX}{shard:02d}"
         self._clock = clock
         self._fold = LeaseFold(engine)
-        self._holder = LeaseHolder(engine, holder, self._fold, term_ms)
+        self._holder = LeaseHolder(engine, holder_id, self._fold, term_ms)
 
     @property
-    def number(self) -> int | None:
+    def fencing_number(self) -> int | None:
         """The number for an order sent right now, if it may be."""
         return self._holder.number(self._clock.now_ms())
 
     def refresh(self) -> bool:
         """Reads the log to its end; False while that is not possible."""
-        return self._read()
+        return self._read_to_end()
 
     def acquire(self, version: int) -> bool:
         """Tries to take the lease once; False while it cannot be had.
@@ -56,12 +56,12 @@
         Args:
             version: Version of the bundle that asks for an order.
         """
-        if not self._read():
+        if not self._read_to_end():
             return False
         step = self._holder.next(self._clock.now_ms(), version)
         if isinstance(step, LeaseRecord):
             self._append(step)
-        return self.number is not None
+        return self.fencing_number is not None
 
     def release(self) -> None:
         """Frees the lease, if it is held."""
@@ -76,9 +76,9 @@
         effect later, does not follow the lease in force any more.
         """
         self._log.append(self._stream, encode_lease(record))
-        self._read()
+        self._read_to_end()
 
-    def _read(self) -> bool:
+    def _read_to_end(self) -> bool:
         while True:
             records = self._log.read(self._stream, self._fold.next_offset)
             if isinstance(records, LogUnavailable):
--- a/caroblug/side/_monitored_engine.py
+++ b/caroblug/side/_monitored_engine.py
@@ -12,7 +12,7 @@
 )
 from caroblug.utils import Clock
 
-_USUAL_DECAY = 0.95
+_MAX_BATCH_DECAY = 0.95
 _OVERDUE_FACTOR = 2.0
 _OVERDUE_SLACK_MS = 100
 
@@ -44,13 +44,15 @@
         self._probe = probe
         self._clock = clock
         self._probe_ms = probe_ms
-        self._begun_ms: list[int] = []
-        self._in_engine: collections.Counter[str] = collections.Counter()
-        self._ended: list[str] = []
-        self._answered_ms = 0
-        self._usual_ms = 0.0
-        self._silent_probes = 0
-        self._known: EngineDescription | None = None
+        self._start_times_ms: list[int] = []
+        self._sessions_in_engine: collections.Counter[str] = (
+            collections.Counter()
+        )
+        self._pending_ends: list[str] = []
+        self._last_result_ms = 0
+        self._max_batch_ms = 0.0
+        self._failed_probes = 0
+        self._last_description: EngineDescription | None = None
 
     def run(
         self, items: Sequence[EngineItem], ended: Sequence[str]
@@ -61,52 +63,58 @@
         a batch of it is still in the engine would be made anew by that
         batch. Its end is told with a later batch.
         """
-        begun_ms = self._clock.now_ms()
-        told = self._tell_ended(ended)
+        start_ms = self._clock.now_ms()
+        reportable = self._take_reportable_ends(ended)
         sessions = [item.session for item in items]
-        self._begun_ms.append(begun_ms)
-        self._in_engine.update(sessions)
+        self._start_times_ms.append(start_ms)
+        self._sessions_in_engine.update(sessions)
         try:
-            outcome = self._engine.run(items, told)
+            outcome = self._engine.run(items, reportable)
         finally:
-            self._begun_ms.remove(begun_ms)
-            self._in_engine.subtract(sessions)
-            self._in_engine += collections.Counter()
+            self._start_times_ms.remove(start_ms)
+            self._sessions_in_engine.subtract(sessions)
+            self._sessions_in_engine += collections.Counter()
         if not isinstance(outcome, EngineFailure):
-            self._answered_ms = self._clock.now_ms()
-            took_ms = float(self._answered_ms - begun_ms)
-            self._usual_ms = max(took_ms, self._usual_ms * _USUAL_DECAY)
+            self._last_result_ms = self._clock.now_ms()
+            elapsed_ms = float(self._last_result_ms - start_ms)
+            self._max_batch_ms = max(
+                elapsed_ms, self._max_batch_ms * _MAX_BATCH_DECAY
+            )
         return outcome
 
-    def _tell_ended(self, ended: Sequence[str]) -> list[str]:
-        self._ended.extend(ended)
-        told = [s for s in self._ended if s not in self._in_engine]
-        self._ended = [s for s in self._ended if s in self._in_engine]
-        return told
+    def _take_reportable_ends(self, ended: Sequence[str]) -> list[str]:
+        self._pending_ends.extend(ended)
+        reportable = [
+            s for s in self._pending_ends if s not in self._sessions_in_engine
+        ]
+        self._pending_ends = [
+            s for s in self._pending_ends if s in self._sessions_in_engine
+        ]
+        return reportable
 
     def describe(self) -> EngineDescription | EngineFailure:
         """Returns what the engine says of itself, or that it is lost.
 
         An engine that only was too busy to answer is described as before.
         """
-        begun_ms = self._clock.now_ms()
+        start_ms = self._clock.now_ms()
         outcome = self._probe.describe()
         if not isinstance(outcome, EngineFailure):
-            self._silent_probes = 0
-            self._known = outcome
+            self._failed_probes = 0
+            self._last_description = outcome
             return outcome
-        self._silent_probes += 1
-        took_ms = self._clock.now_ms() - begun_ms
-        if self._known is None or took_ms < self._probe_ms // 2:
+        self._failed_probes += 1
+        elapsed_ms = self._clock.now_ms() - start_ms
+        if self._last_description is None or elapsed_ms < self._probe_ms // 2:
             return outcome
-        busy = self._answered_ms >= begun_ms
-        if busy or (self._silent_probes < 2 and not self._is_overdue()):
-            return self._known
-        self._known = None
+        busy = self._last_result_ms >= start_ms
+        if busy or (self._failed_probes < 2 and not self._is_overdue()):
+            return self._last_description
+        self._last_description = None
         return outcome
 
     def _is_overdue(self) -> bool:
-        if not self._begun_ms:
+        if not self._start_times_ms:
             return False
-        age_ms = self._clock.now_ms() - self._begun_ms[0]
-        return age_ms > _OVERDUE_FACTOR * self._usual_ms + _OVERDUE_SLACK_MS
+        age_ms = self._clock.now_ms() - self._start_times_ms[0]
+        return age_ms > _OVERDUE_FACTOR * self._max_batch_ms + _OVERDUE_SLACK_MS
--- a/caroblug/side/_placement_reconciler.py
+++ b/caroblug/side/_placement_reconciler.py
@@ -23,10 +23,10 @@
 )
 from caroblug.utils import Clock, Metrics, log_state
 
-_POLL_S = 0.2
-_HOLDER_BYTES = 6
+_POLL_INTERVAL_S = 0.2
+_HOLDER_ID_BYTES = 6
 _JITTER = 0.25
-_WEIGHTS_RETRY_MS = 1000
+_RESERVATION_RETRY_MS = 1000
 
 
 @attrs.frozen
@@ -56,7 +56,7 @@
         target: Returns the engine's placement in the bundle in force.
         busy: Tells whether streams still run on the engine.
         on_ordered: Called after an order, done or not.
-        on_changed: Called when somebody else has changed the engine.
+        on_foreign_change: Called when somebody else has changed the engine.
         clock: Source of time.
         metrics: Where orders are counted.
     """
@@ -69,7 +69,7 @@
         target: Callable[[], PlacementTarget | None],
         busy: Callable[[], bool],
         on_ordered: Callable[[], None],
-        on_changed: Callable[[], None],
+        on_foreign_change: Callable[[], None],
         clock: Clock,
         metrics: Metrics,
     ) -> None:
@@ -81,11 +81,11 @@
         self._on_ordered = on_ordered
         self._clock = clock
         self._metrics = metrics
-        self._on_changed = on_changed
+        self._on_foreign_change = on_foreign_change
         self._changing = False
-        self._seen: Placement | None = None
+        self._last_state: Placement | None = None
         self._ticket: tuple[Placement, str] | None = None
-        self._not_before_ms = 0
+        self._next_reservation_ms = 0
 
     @property
     def changing(self) -> bool:
@@ -95,53 +95,53 @@
     def run(self) -> None:
         """Looks at the engine for ever."""
         while True:
-            self._step()
-            gevent.sleep(_POLL_S)
+            self._reconcile()
+            gevent.sleep(_POLL_INTERVAL_S)
 
-    def _step(self) -> None:
+    def _reconcile(self) -> None:
         target = self._target()
         state = self._orders.state() if target is not None else None
         if target is None or state == target.placement:
             if target is not None:
-                self._look(state)
+                self._check_state(state)
             self._set_changing(False)
             self._lease.release()
             return
         if isinstance(state, OrderFailed):
             return
-        self._look(state)
-        ticket = self._prepare(target.placement)
+        self._check_state(state)
+        ticket = self._prepare_order(target.placement)
         self._set_changing(ticket is not None)
         if ticket is None or self._busy():
             return
         if self._lease.acquire(target.version):
-            self._send(target.placement, ticket)
+            self._send_order(target.placement, ticket)
 
-    def _look(self, state: Placement) -> None:
+    def _check_state(self, state: Placement) -> None:
         """Notes the engine's state, and whether somebody else changed it.
 
         Guards against streams that run on over a late order of a paused
         predecessor: the engine has lost their caches, and their answers
         would be wrong from there.
         """
-        seen, self._seen = self._seen, state
-        if seen is not None and seen != state:
+        last_state, self._last_state = self._last_state, state
+        if last_state is not None and last_state != state:
             self._metrics.count("engine_changed_by_others")
-            self._on_changed()
+            self._on_foreign_change()
 
-    def _prepare(self, placement: Placement) -> str | None:
+    def _prepare_order(self, placement: Placement) -> str | None:
         """Returns the store's ticket once an order could follow.
 
         Until then the engine goes on to serve what it holds: also while the
         log service is down, or many engines wait for the weight store.
         """
-        if self._clock.now_ms() < self._not_before_ms:
+        if self._clock.now_ms() < self._next_reservation_ms:
             return None
         if not self._lease.refresh():
             return None
-        return self._reserve(placement)
+        return self._reserve_ticket(placement)
 
-    def _reserve(self, placement: Placement) -> str | None:
+    def _reserve_ticket(self, placement: Placement) -> str | None:
         """Returns the store's ticket, asked for once; None if not yet."""
         if self._weights is None:
             return ""
@@ -153,7 +153,7 @@
         if isinstance(reserved, Reserved):
             self._ticket = (placement, reserved.ticket)
             return reserved.ticket
-        wait_ms = _WEIGHTS_RETRY_MS
+        wait_ms = _RESERVATION_RETRY_MS
         if isinstance(reserved, WeightsBusy):
             wait_ms = reserved.retry_after_ms
         self._metrics.count(
@@ -161,22 +161,22 @@
         )
         # Many engines are told to come back at once; the jitter spreads them.
         spread = 1 + random.random() * _JITTER
-        self._not_before_ms = self._clock.now_ms() + int(wait_ms * spread)
+        self._next_reservation_ms = self._clock.now_ms() + int(wait_ms * spread)
         return None
 
-    def _send(self, placement: Placement, ticket: str) -> None:
-        number = self._lease.number
-        if number is None:
+    def _send_order(self, placement: Placement, ticket: str) -> None:
+        fencing_number = self._lease.fencing_number
+        if fencing_number is None:
             return
-        outcome = self._orders.order(number, placement, ticket)
+        outcome = self._orders.order(fencing_number, placement, ticket)
         kind = type(outcome).__name__.lower()
         self._metrics.count("engine_orders", outcome=kind)
         log_state("engine.ordered", model=placement.model, outcome=kind)
-        self._seen = None
+        self._last_state = None
         if isinstance(outcome, OrderTaken):
             self._ticket = None
             # A late order may land before the next look, which must see it.
-            self._seen = placement
+            self._last_state = placement
         self._on_ordered()
 
     def _set_changing(self, changing: bool) -> None:
@@ -190,7 +190,7 @@
     target: Callable[[], PlacementTarget | None],
     busy: Callable[[], bool],
     on_ordered: Callable[[], None],
-    on_changed: Callable[[], None],
+    on_foreign_change: Callable[[], None],
     clock: Clock,
     metrics: Metrics,
 ) -> PlacementReconciler:
@@ -199,7 +199,7 @@
     lease = EngineLease(
         make_log_service(settings.log.host, settings.log.port),
         settings.engine_name or settings.instance,
-        f"{settings.instance}.{secrets.token_hex(_HOLDER_BYTES)}",
+        f"{settings.instance}.{secrets.token_hex(_HOLDER_ID_BYTES)}",
         clock,
         settings.lease_ms,
     )
@@ -210,7 +210,7 @@
         target,
         busy,
         on_ordered,
-        on_changed,
+        on_foreign_change,
         clock,
         metrics,
     )
--- a/caroblug/side/_plain.py
+++ b/caroblug/side/_plain.py
@@ -18,8 +18,8 @@
 from caroblug.utils import Metrics, Ran, RefusalType
 
 _RETRY_AFTER_MS = 500
-_PATH_SAFE = "%/?:@!$&'()*+,;=~-._[]"
-_HOP_HEADERS = frozenset(
+_PATH_SAFE_CHARACTERS = "%/?:@!$&'()*+,;=~-._[]"
+_HOP_BY_HOP_HEADERS = frozenset(
     {"connection", "keep-alive", "transfer-encoding", "content-length", "host"}
 )
 
@@ -63,13 +63,13 @@
     def call(self, call: wire.PlainCall) -> wire.PlainReply:
         """Runs a call and returns its answer or refusal."""
         if not call.repeatable:
-            return self.call_once(call, lambda: True)
-        answer = self._client.request(
-            call.method, call.path, call.body or b"", _headers_of(call)
+            return self.call_at_most_once(call, lambda: True)
+        response = self._client.request(
+            call.method, call.path, call.body or b"", _make_headers(call)
         )
-        return _make_reply(call, answer)
+        return _make_reply(call, response)
 
-    def call_once(
+    def call_at_most_once(
         self, call: wire.PlainCall, may_send: Callable[[], bool]
     ) -> wire.PlainReply:
         """Runs a call that must not reach the service twice.
@@ -78,20 +78,20 @@
             call: The call.
             may_send: Asked right before the first byte leaves.
         """
-        answer = request_once(
+        response = request_once(
             self._host,
             self._port,
             min(self._timeout_ms, call.deadline_ms or self._timeout_ms),
             call.method,
-            parse.quote(call.path, safe=_PATH_SAFE),
+            parse.quote(call.path, safe=_PATH_SAFE_CHARACTERS),
             call.body or b"",
-            _headers_of(call),
+            _make_headers(call),
             may_send,
         )
-        return _make_reply(call, answer)
+        return _make_reply(call, response)
 
 
-def _headers_of(call: wire.PlainCall) -> dict[str, str]:
+def _make_headers(call: wire.PlainCall) -> dict[str, str]:
     headers = {h.name: h.value for h in call.headers or ()}
     if call.key:
         headers["Idempotency-Key"] = call.key
@@ -99,23 +99,23 @@
 
 
 def _make_reply(
-    call: wire.PlainCall, answer: HttpResponse | HttpFailure
+    call: wire.PlainCall, response: HttpResponse | HttpFailure
 ) -> wire.PlainReply:
-    if isinstance(answer, HttpFailure):
-        ran = Ran.UNKNOWN if answer.sent else Ran.NO
+    if isinstance(response, HttpFailure):
+        ran = Ran.UNKNOWN if response.sent else Ran.NO
         return refuse_call(
-            call, RefusalType.BACKEND_FAILED, answer.message, ran
+            call, RefusalType.BACKEND_FAILED, response.message, ran
         )
-    kept = [
+    headers = [
         wire.Header(name, value)
-        for name, value in answer.headers
-        if name.lower() not in _HOP_HEADERS
+        for name, value in response.headers
+        if name.lower() not in _HOP_BY_HOP_HEADERS
     ]
     return wire.PlainReply(
         call=call.call,
-        status=answer.status,
-        headers=kept,
-        body=answer.body,
+        status=response.status,
+        headers=headers,
+        body=response.body,
         ran=Ran.YES,
     )
 
--- a/caroblug/side/_server.py
+++ b/caroblug/side/_server.py
@@ -46,8 +46,8 @@
 )
 
 _ENTRY_ROLE = "entry"
-_REPORT_BYTES = 110
-_DESCRIBE_S = 0.1
+_REPORT_SIZE_BYTES = 110
+_PROBE_INTERVAL_S = 0.1
 
 
 class SideServer(PeerHandler):
@@ -88,25 +88,25 @@
             self._on_head,
         )
         self.bundles = self.fleet.bundles
-        self._crashes = CrashReporter(
+        self._crash_reporter = CrashReporter(
             settings.instance,
             self.network,
-            self._quarantine,
+            self._get_quarantine,
             self._clock,
             self.metrics,
         )
         self._description: EngineDescription | None = None
         self._engine: EngineClient | None = None
-        self._pump: BatchScheduler | None = None
+        self._scheduler: BatchScheduler | None = None
         self._streams: StageStreams | None = None
-        self._calls: PlainCallHandler | None = None
-        self._keeper: PlacementReconciler | None = None
+        self._call_handler: PlainCallHandler | None = None
+        self._reconciler: PlacementReconciler | None = None
         self._make_backend()
 
     @property
     def ready(self) -> bool:
         """Whether new work is taken."""
-        up = self._calls is not None or self._description is not None
+        up = self._call_handler is not None or self._description is not None
         return up and self.bundles.ready and not self.lifetime.leaving
 
     def run(self) -> None:
@@ -117,19 +117,19 @@
         app = falcon.App()
         add_node_routes(app, self.metrics, lambda: self.ready)
         add_status_route(
-            app, lambda: self.fleet.status(self.ready, self._running())
+            app, lambda: self.fleet.status(self.ready, self._count_running())
         )
         http = NodeHttp(settings.host, settings.http_port, app)
         http.start()
         self.fleet.start(self.lifetime.leave)
         if self._engine is not None:
             gevent.spawn(self._watch_engine)
-            gevent.spawn(self._keeper.run)
-        if self._calls is not None:
-            self._calls.start()
+            gevent.spawn(self._reconciler.run)
+        if self._call_handler is not None:
+            self._call_handler.start()
         gevent.spawn(self._report_forever)
         log_state("program.started", port=settings.peer_port)
-        self.lifetime.wait(self._report, self._busy, self._hand_on)
+        self.lifetime.wait(self._report, self._busy, self._request_reroute)
         self.network.stop()
         http.stop()
 
@@ -140,19 +140,21 @@
                 self.network.send(peer, wire.LinkProbe(probe.sent_ms, True))
         self.fleet.on_frame(peer, frame)
         for suspicion in frame.suspicions or ():
-            self._crashes.on_suspicion(suspicion)
+            self._crash_reporter.on_suspicion(suspicion)
         if self._streams is not None:
             self._on_stream_messages(self._streams, frame)
-        if self._calls is not None:
+        if self._call_handler is not None:
             for call in frame.calls or ():
-                self._calls.on_call(peer, call, leaving=self.lifetime.leaving)
+                self._call_handler.on_call(
+                    peer, call, leaving=self.lifetime.leaving
+                )
 
     def on_peer_up(self, peer: PeerAddress) -> None:
         """Tells a new entry about this process."""
         self.fleet.on_peer_up(peer)
         if peer.role == _ENTRY_ROLE:
-            self._crashes.on_entry_up(peer)
-        if peer.role == _ENTRY_ROLE and self._is_up():
+            self._crash_reporter.on_entry_up(peer)
+        if peer.role == _ENTRY_ROLE and self._is_backend_up():
             self.network.send(peer, self._make_report())
 
     def on_peer_lost(self, peer: PeerAddress, reason: str) -> None:
@@ -165,7 +167,7 @@
     def _make_backend(self) -> None:
         settings = self.settings
         if settings.plain is not None:
-            self._calls = make_plain_call_handler(
+            self._call_handler = make_plain_call_handler(
                 settings, self.network, self._clock, self.metrics
             )
             return
@@ -180,7 +182,7 @@
             self._clock,
             settings.engine_probe_ms,
         )
-        self._pump = BatchScheduler(
+        self._scheduler = BatchScheduler(
             self._engine,
             self._clock,
             self.metrics,
@@ -193,19 +195,19 @@
         self._streams = StageStreams(
             settings.instance,
             self.network,
-            self._pump,
+            self._scheduler,
             self._clock,
             self.metrics,
             settings.journal_positions,
-            self._sharing,
+            self._get_sharing,
         )
-        self._pump.start()
-        self._keeper = make_placement_reconciler(
+        self._scheduler.start()
+        self._reconciler = make_placement_reconciler(
             settings,
-            self._target,
+            self._find_target,
             lambda: len(self._streams) > 0,
             self._on_ordered,
-            self._on_changed,
+            self._on_foreign_change,
             self._clock,
             self.metrics,
         )
@@ -213,8 +215,8 @@
     def _on_stream_messages(
         self, streams: StageStreams, frame: wire.Frame
     ) -> None:
-        for opened in frame.opens or ():
-            streams.on_open(opened, self._refusal(opened))
+        for open_message in frame.opens or ():
+            streams.on_open(open_message, self._find_refusal(open_message))
         for need in frame.needs or ():
             streams.on_need(need)
         for step in frame.steps or ():
@@ -224,18 +226,20 @@
         for cancel in frame.cancels or ():
             streams.on_cancel(cancel)
 
-    def _refusal(self, opened: wire.OpenStream) -> str:
+    def _find_refusal(self, open_message: wire.OpenStream) -> str:
         if self.lifetime.leaving or self._is_changing():
             return StageFailure.LEAVING
-        if self._streams.positions >= self.settings.positions:
+        if self._streams.reserved_positions >= self.settings.positions:
             return StageFailure.OVERLOADED
-        fingerprint = opened.fingerprint or ""
-        if self._crashes.is_quarantined(fingerprint):
-            self._crashes.tell(address_of(opened.entry), fingerprint)
+        fingerprint = open_message.fingerprint or ""
+        if self._crash_reporter.is_quarantined(fingerprint):
+            self._crash_reporter.send_suspicions(
+                address_of(open_message.entry), fingerprint
+            )
             return StageFailure.QUARANTINED
-        return "" if self._is_up() else StageFailure.ENGINE_FAILED
+        return "" if self._is_backend_up() else StageFailure.ENGINE_FAILED
 
-    def _target(self) -> PlacementTarget | None:
+    def _find_target(self) -> PlacementTarget | None:
         head = self.bundles.head
         if head is None or self.lifetime.leaving:
             return None
@@ -248,57 +252,63 @@
         self._description = None
         self._report()
 
-    def _on_changed(self) -> None:
+    def _on_foreign_change(self) -> None:
         """Gives up the streams: they run on elsewhere."""
         failed = EngineFailure("the engine was ordered by somebody else")
-        self._on_engine_lost(self._pump.in_engine, failed)
+        self._on_engine_lost(self._scheduler.sessions_in_engine, failed)
 
-    def _takes_none(self) -> bool:
+    def _rejects_new_work(self) -> bool:
         leaving = self.lifetime.leaving or self._is_changing()
-        return leaving or not self._is_up()
+        return leaving or not self._is_backend_up()
 
     def _is_changing(self) -> bool:
-        return self._keeper is not None and self._keeper.changing
+        return self._reconciler is not None and self._reconciler.changing
 
-    def _is_up(self) -> bool:
-        return self._calls is not None or self._description is not None
+    def _is_backend_up(self) -> bool:
+        return self._call_handler is not None or self._description is not None
 
-    def _running(self) -> int:
-        work = self._streams if self._calls is None else self._calls
+    def _count_running(self) -> int:
+        work = (
+            self._streams if self._call_handler is None else self._call_handler
+        )
         return len(work)
 
     def _busy(self) -> bool:
-        if self._calls is not None:
-            return self._calls.busy
-        return self._running() > 0
+        if self._call_handler is not None:
+            return self._call_handler.busy
+        return self._count_running() > 0
 
-    def _hand_on(self) -> None:
+    def _request_reroute(self) -> None:
         if self._streams is not None:
-            self._streams.hand_on()
+            self._streams.request_reroute()
 
     def _on_head(self, head: Head) -> None:
-        if self._calls is not None:
-            self._calls.on_head(head)
+        if self._call_handler is not None:
+            self._call_handler.on_head(head)
         self._report()
 
-    def _sharing(self) -> Sharing:
+    def _get_sharing(self) -> Sharing:
         head = self.bundles.head
         return head.bundle.sharing if head is not None else Sharing()
 
-    def _quarantine(self) -> Quarantine:
+    def _get_quarantine(self) -> Quarantine:
         head = self.bundles.head
         return head.bundle.quarantine if head is not None else Quarantine()
 
     def _on_engine_lost(
-        self, in_engine: Mapping[str, int], failed: EngineFailure
+        self, sessions_in_engine: Mapping[str, int], failed: EngineFailure
     ) -> None:
         """Tells entries, of suspects first: they retry what they hear of."""
         if failed.crashed:
-            requests = self._streams.requests_of(in_engine)
-            self._crashes.on_crash(
-                (opened.fingerprint, opened.client_account, position)
-                for opened, position in requests
-                if opened.fingerprint
+            requests = self._streams.open_messages_of(sessions_in_engine)
+            self._crash_reporter.on_crash(
+                (
+                    open_message.fingerprint,
+                    open_message.client_account,
+                    position,
+                )
+                for open_message, position in requests
+                if open_message.fingerprint
             )
         message = failed.message
         if self._description is not None:
@@ -313,15 +323,17 @@
             description = self._engine.describe()
             if isinstance(description, EngineFailure):
                 if self._description is not None:
-                    self._on_engine_lost(self._pump.in_engine, description)
+                    self._on_engine_lost(
+                        self._scheduler.sessions_in_engine, description
+                    )
             elif self._description is None:
                 log_state("engine.up", model=description.model)
-                self._crashes.on_up()
-                self._pump.batch = description.batch
+                self._crash_reporter.on_engine_up()
+                self._scheduler.batch = description.batch
                 self._description = description
                 self._report()
             self._streams.drop_expired()
-            gevent.sleep(_DESCRIBE_S)
+            gevent.sleep(_PROBE_INTERVAL_S)
 
     def _report_forever(self) -> None:
         while True:
@@ -332,7 +344,7 @@
         entries = sum(p.role == _ENTRY_ROLE for p in self.network.peers)
         return report_interval_ms(
             entries,
-            _REPORT_BYTES,
+            _REPORT_SIZE_BYTES,
             self.settings.report_ms,
             self.settings.report_bytes_per_s,
         )
@@ -347,7 +359,7 @@
             instance=settings.instance,
             role="side",
             data_centre=settings.data_centre,
-            leaving=self._takes_none(),
+            leaving=self._rejects_new_work(),
             bundle_version=head.version if head else 0,
             host=settings.reach_host,
             port=settings.reach_port,
@@ -355,18 +367,18 @@
         )
         if settings.plain is not None:
             report.target = settings.plain.service
-            report.running = len(self._calls)
+            report.running = len(self._call_handler)
         elif self._description is not None:
             description = self._description
             report.target = description.model
             report.first_layer = description.first_layer
             report.end_layer = description.end_layer
             report.tokens_per_s = description.tokens_per_s
-            report.waiting = self._pump.waiting
-            report.running = self._pump.running
+            report.waiting = self._scheduler.waiting
+            report.running = self._scheduler.running
             report.streams = len(self._streams)
-            report.client_accounts = self._pump.client_accounts
-            report.backlog = self._pump.backlog
+            report.client_accounts = self._scheduler.client_accounts
+            report.backlog = self._scheduler.backlog
         return report
 
 
--- a/caroblug/side/_streams.py
+++ b/caroblug/side/_streams.py
@@ -21,8 +21,8 @@
 from caroblug.utils import Clock, Metrics
 
 _RETRY_AFTER_MS = 200
-_DEADLINE_SLACK_MS = 5000
-_LEAST_COST = 0.001
+_EXPIRY_SLACK_MS = 5000
+_MIN_COST = 0.001
 
 
 class StageStreams:
@@ -31,7 +31,7 @@
     Args:
         instance: Name of this instance.
         network: Where messages are sent.
-        pump: Where units are run.
+        scheduler: Where units are run.
         clock: Source of time.
         metrics: Where streams are counted.
         journal_positions: Outputs kept per stream.
@@ -42,7 +42,7 @@
         self,
         instance: str,
         network: PeerNetwork,
-        pump: BatchScheduler,
+        scheduler: BatchScheduler,
         clock: Clock,
         metrics: Metrics,
         journal_positions: int,
@@ -50,83 +50,87 @@
     ) -> None:
         self._instance = instance
         self._network = network
-        self._pump = pump
+        self._scheduler = scheduler
         self._clock = clock
         self._metrics = metrics
         self._journal_positions = journal_positions
         self._sharing = sharing
         self._streams: dict[str, OpenStage] = {}
-        self._by_session: dict[str, str] = {}
-        self._positions = 0
+        self._stream_by_session: dict[str, str] = {}
+        self._reserved_positions = 0
 
     def __len__(self) -> int:
         return len(self._streams)
 
     @property
-    def positions(self) -> int:
+    def reserved_positions(self) -> int:
         """Positions of all open streams together, those to come included.
 
         Bounds the memory of queues and journals when this stage is slow: no
         stream can bring more than its `max_length`.
         """
-        return self._positions
+        return self._reserved_positions
 
-    def on_open(self, opened: wire.OpenStream, refusal: str = "") -> None:
+    def on_open(self, open_message: wire.OpenStream, refusal: str = "") -> None:
         """Opens a stream or a newer attempt of it.
 
         Args:
-            opened: The message.
+            open_message: The message.
             refusal: A `StageFailure` for which a stream that is not yet
                 here is refused; empty to take it.
         """
-        known = self._streams.get(opened.stream)
-        if known is not None and not has_same_layers(known, opened):
-            self._forget(opened.stream)
-            known = None
-        if known is None:
+        open_stage = self._streams.get(open_message.stream)
+        if open_stage is not None and not has_same_layers(
+            open_stage, open_message
+        ):
+            self._remove(open_message.stream)
+            open_stage = None
+        if open_stage is None:
             if refusal:
-                self._refuse(opened, refusal, "takes no new streams")
+                self._send_refusal(
+                    open_message, refusal, "takes no new streams"
+                )
                 return
-            known = self._make_entry(opened)
-        if opened.attempt <= known.stream.attempt:
+            open_stage = self._add_stage(open_message)
+        if open_message.attempt <= open_stage.stream.attempt:
             return
-        known.opened = opened
-        known.end_ms = self._end_ms(opened)
-        self._watch(known, known.fed)
-        effects = known.stream.open(
-            opened.attempt,
-            opened.tokens or [],
-            opened.known_length,
-            opened.prompt_length,
-            opened.max_length,
-            opened.sends_from or 0,
+        open_stage.open_message = open_message
+        open_stage.expires_ms = self._compute_expiry_ms(open_message)
+        self._set_in_flight_peer(open_stage, open_stage.downstream_instance)
+        effects = open_stage.stream.open(
+            open_message.attempt,
+            open_message.tokens or [],
+            open_message.known_length,
+            open_message.prompt_length,
+            open_message.max_length,
+            open_message.sends_from or 0,
         )
-        self._apply(opened.stream, known, effects)
+        self._apply(open_message.stream, open_stage, effects)
 
     def on_step(self, step: wire.Step) -> None:
         """Takes hidden states from the previous stage."""
-        known = self._streams.get(step.stream)
-        if known is not None:
-            effects = known.stream.on_states(
+        open_stage = self._streams.get(step.stream)
+        if open_stage is not None:
+            effects = open_stage.stream.on_states(
                 step.attempt, step.position, step.states
             )
-            self._apply(step.stream, known, effects)
+            self._apply(step.stream, open_stage, effects)
 
     def on_token(self, token: wire.Token) -> None:
         """Takes a token from the last stage."""
-        known = self._streams.get(token.stream)
-        if known is not None:
-            effects = known.stream.on_token(
+        open_stage = self._streams.get(token.stream)
+        if open_stage is not None:
+            effects = open_stage.stream.on_token(
                 token.attempt, token.position, token.token
             )
-            self._apply(token.stream, known, effects)
+            self._apply(token.stream, open_stage, effects)
 
     def on_need(self, need: wire.Need) -> None:
         """Sends states again for the next stage."""
-        known = self._streams.get(need.stream)
-        if known is not None:
-            effects = known.stream.on_need(need.attempt, need.position)
-            self._apply(need.stream, known, effects)
+        open_stage = self._streams.get(need.stream)
+        if open_stage is not None:
+            effects = open_stage.stream.on_need(need.attempt, need.position)
+            self._apply(need.stream, open_stage, effects)
 
     def on_cancel(self, cancel: wire.Cancel) -> None:
         """Ends a stream; an older attempt's cancel does nothing.
@@ -134,34 +138,34 @@
         Guards against a cancel that overtakes the open message: it is also
         passed along the chain, behind the open on each connection.
         """
-        known = self._streams.get(cancel.stream)
-        if known is None or cancel.attempt < known.stream.attempt:
+        open_stage = self._streams.get(cancel.stream)
+        if open_stage is None or cancel.attempt < open_stage.stream.attempt:
             return
-        self._forget(cancel.stream)
-        if not known.stream.is_last and not cancel.only_here:
-            self._network.send(known.next, cancel)
+        self._remove(cancel.stream)
+        if not open_stage.stream.is_last and not cancel.only_here:
+            self._network.send(open_stage.next, cancel)
 
     def on_results(self, results: Sequence[EngineResult]) -> None:
         """Takes what the engine answered."""
         for result in results:
-            name = self._by_session.get(result.session)
+            name = self._stream_by_session.get(result.session)
             if name is not None:
-                self._on_result(name, self._streams[name], result)
+                self._handle_result(name, self._streams[name], result)
 
-    def requests_of(
+    def open_messages_of(
         self, sessions: Mapping[str, int]
     ) -> list[tuple[wire.OpenStream, int]]:
         """Returns the open messages of sessions, with their positions."""
         return [
-            (self._streams[name].opened, position)
+            (self._streams[name].open_message, position)
             for session, position in sessions.items()
-            if (name := self._by_session.get(session)) is not None
+            if (name := self._stream_by_session.get(session)) is not None
         ]
 
     def on_engine_lost(self, message: str) -> None:
         """Gives up every stream: the engine's caches are gone."""
-        for name, known in list(self._streams.items()):
-            self._fail(name, known, message)
+        for name, open_stage in list(self._streams.items()):
+            self._fail_stream(name, open_stage, message)
 
     def on_peer_lost(self, instance: str) -> None:
         """Tells the entries that a stage is out of reach from here.
@@ -170,28 +174,30 @@
         reaches: only this end notices, and the stream would stop for good.
         A stream whose entry is lost has no caller left and is forgotten.
         The stages behind are told too: a process that was frozen may, awake
-        again, have opened an old attempt there before it learns that its
+        again, have open_message an old attempt there before it learns that its
         entry has given it up.
         """
-        for name, known in list(self._streams.items()):
-            if known.entry.instance == instance:
+        for name, open_stage in list(self._streams.items()):
+            if open_stage.entry.instance == instance:
                 self._metrics.count("streams_orphaned")
-                self.on_cancel(wire.Cancel(name, known.stream.attempt))
-            elif known.watched == instance:
-                self._refuse(
-                    known.opened,
+                self.on_cancel(wire.Cancel(name, open_stage.stream.attempt))
+            elif open_stage.in_flight_peer == instance:
+                self._send_refusal(
+                    open_stage.open_message,
                     StageFailure.PEER_UNREACHABLE,
                     f"{instance} does not answer",
                     unreachable=instance,
                 )
 
-    def hand_on(self) -> None:
+    def request_reroute(self) -> None:
         """Asks the entries to run every stream elsewhere.
 
         The streams run on here until their entry ends them.
         """
-        for known in self._streams.values():
-            self._refuse(known.opened, StageFailure.HANDED_ON, "leaving")
+        for open_stage in self._streams.values():
+            self._send_refusal(
+                open_stage.open_message, StageFailure.HANDED_ON, "leaving"
+            )
 
     def drop_expired(self) -> None:
         """Forgets streams well past their deadline.
@@ -199,150 +205,164 @@
         Guards against streams whose entry died: nobody would cancel them.
         """
         now_ms = self._clock.now_ms()
-        for name, known in list(self._streams.items()):
-            if now_ms > known.end_ms:
+        for name, open_stage in list(self._streams.items()):
+            if now_ms > open_stage.expires_ms:
                 self._metrics.count("streams_expired")
-                self._forget(name)
+                self._remove(name)
 
-    def _on_result(
-        self, name: str, known: OpenStage, result: EngineResult
+    def _handle_result(
+        self, name: str, open_stage: OpenStage, result: EngineResult
     ) -> None:
         if result.error:
-            self._fail(name, known, result.error)
+            self._fail_stream(name, open_stage, result.error)
             return
-        if known.stream.is_last:
-            effects = known.stream.on_sampled(
+        if open_stage.stream.is_last:
+            effects = open_stage.stream.on_sampled(
                 result.position, result.length, result.token
             )
         else:
-            effects = known.stream.on_states_run(
+            effects = open_stage.stream.on_states_run(
                 result.position, list(result.states)
             )
-        self._apply(name, known, effects)
+        self._apply(name, open_stage, effects)
 
-    def _make_entry(self, opened: wire.OpenStream) -> OpenStage:
+    def _add_stage(self, open_message: wire.OpenStream) -> OpenStage:
         stream = StageStream(
-            is_first=opened.stage == 0,
-            is_last=opened.stage == len(opened.chain) - 1,
+            is_first=open_message.stage == 0,
+            is_last=open_message.stage == len(open_message.chain) - 1,
             journal_positions=self._journal_positions,
         )
-        session = f"{opened.stream}.{opened.attempt}"
-        entry = OpenStage(stream, opened, self._end_ms(opened), session)
-        self._streams[opened.stream] = entry
-        self._by_session[session] = opened.stream
-        self._positions += opened.max_length
+        session = f"{open_message.stream}.{open_message.attempt}"
+        open_stage = OpenStage(
+            stream, open_message, self._compute_expiry_ms(open_message), session
+        )
+        self._streams[open_message.stream] = open_stage
+        self._stream_by_session[session] = open_message.stream
+        self._reserved_positions += open_message.max_length
         self._metrics.count("streams_opened")
         self._metrics.gauge("streams", len(self._streams))
-        return entry
+        return open_stage
 
-    def _end_ms(self, opened: wire.OpenStream) -> int:
-        return self._clock.now_ms() + opened.deadline_ms + _DEADLINE_SLACK_MS
+    def _compute_expiry_ms(self, open_message: wire.OpenStream) -> int:
+        return (
+            self._clock.now_ms() + open_message.deadline_ms + _EXPIRY_SLACK_MS
+        )
 
-    def _forget(self, name: str) -> None:
-        known = self._streams.pop(name)
-        self._watch(known, "")
-        self._positions -= known.opened.max_length
-        del self._by_session[known.session]
+    def _remove(self, name: str) -> None:
+        open_stage = self._streams.pop(name)
+        self._set_in_flight_peer(open_stage, "")
+        self._reserved_positions -= open_stage.open_message.max_length
+        del self._stream_by_session[open_stage.session]
         self._metrics.gauge("streams", len(self._streams))
-        self._pump.end(known.session)
+        self._scheduler.end(open_stage.session)
 
-    def _watch(self, known: OpenStage, instance: str) -> None:
-        if known.watched == instance:
+    def _set_in_flight_peer(self, open_stage: OpenStage, instance: str) -> None:
+        if open_stage.in_flight_peer == instance:
             return
-        if known.watched:
-            self._network.add_in_flight(known.watched, -1)
+        if open_stage.in_flight_peer:
+            self._network.add_in_flight(open_stage.in_flight_peer, -1)
         if instance:
             self._network.add_in_flight(instance)
-        known.watched = instance
+        open_stage.in_flight_peer = instance
 
-    def _fail(self, name: str, known: OpenStage, message: str) -> None:
-        self._refuse(known.opened, StageFailure.ENGINE_FAILED, message)
-        self._forget(name)
+    def _fail_stream(
+        self, name: str, open_stage: OpenStage, message: str
+    ) -> None:
+        self._send_refusal(
+            open_stage.open_message, StageFailure.ENGINE_FAILED, message
+        )
+        self._remove(name)
 
-    def _refuse(
+    def _send_refusal(
         self,
-        opened: wire.OpenStream,
+        open_message: wire.OpenStream,
         reason: str,
         message: str,
         unreachable: str = "",
     ) -> None:
         self._metrics.count("streams_refused", reason=reason)
         refusal = wire.StageRefusal(
-            opened.stream,
-            opened.attempt,
+            open_message.stream,
+            open_message.attempt,
             self._instance,
             reason,
             message,
             _RETRY_AFTER_MS,
             unreachable,
         )
-        self._network.send(address_of(opened.entry), refusal)
+        self._network.send(address_of(open_message.entry), refusal)
 
     def _apply(
         self,
         name: str,
-        known: OpenStage,
+        open_stage: OpenStage,
         effects: Sequence[recovery.Effect],
     ) -> None:
         for effect in effects:
-            self._apply_one(name, known, effect)
+            self._apply_one(name, open_stage, effect)
 
     def _apply_one(
-        self, name: str, known: OpenStage, effect: recovery.Effect
+        self, name: str, open_stage: OpenStage, effect: recovery.Effect
     ) -> None:
-        attempt = known.stream.attempt
+        attempt = open_stage.stream.attempt
         match effect:
             case recovery.RunUnit():
-                self._run(known, effect)
+                self._submit_unit(open_stage, effect)
             case recovery.SendStates(position, states):
                 step = wire.Step(name, attempt, position, list(states))
-                self._network.send(known.next, step)
+                self._network.send(open_stage.next, step)
             case recovery.SendToken(position, token, to_first_stage):
                 message = wire.Token(name, attempt, position, token)
-                self._network.send(known.entry, message)
+                self._network.send(open_stage.entry, message)
                 if to_first_stage:
-                    self._send_first(known, message)
+                    self._send_to_first_stage(open_stage, message)
             case recovery.ForwardOpen():
-                message = make_next_open(known.opened, effect)
-                self._network.send(known.next, message)
+                message = make_next_open(open_stage.open_message, effect)
+                self._network.send(open_stage.next, message)
             case recovery.SendNeed(position):
                 need = wire.Need(name, attempt, position)
-                self._network.send(known.previous, need)
+                self._network.send(open_stage.previous, need)
             case recovery.FailStream(reason, message):
-                self._refuse(known.opened, reason, message)
+                self._send_refusal(open_stage.open_message, reason, message)
 
-    def _send_first(self, known: OpenStage, message: wire.Token) -> None:
-        if known.stream.is_first:
+    def _send_to_first_stage(
+        self, open_stage: OpenStage, message: wire.Token
+    ) -> None:
+        if open_stage.stream.is_first:
             self.on_token(message)
         else:
-            self._network.send(known.first, message)
+            self._network.send(open_stage.first, message)
 
-    def _run(self, known: OpenStage, effect: recovery.RunUnit) -> None:
+    def _submit_unit(
+        self, open_stage: OpenStage, effect: recovery.RunUnit
+    ) -> None:
         item = EngineItem(
-            known.session,
-            known.stage.first_layer,
-            known.stage.end_layer,
+            open_stage.session,
+            open_stage.stage_ref.first_layer,
+            open_stage.stage_ref.end_layer,
             effect.position,
             effect.inputs,
-            known.opened.seed,
+            open_stage.open_message.seed,
         )
-        opened = known.opened
-        self._pump.submit(
-            opened.client_account,
+        open_message = open_stage.open_message
+        self._scheduler.submit(
+            open_message.client_account,
             item,
-            self._cost(opened, effect),
-            opened.weight,
-            known.end_ms - _DEADLINE_SLACK_MS,
-            most_weight=opened.account_weight or opened.weight,
-            alone=effect.position < (opened.alone_until or 0),
+            self._compute_cost(open_message, effect),
+            open_message.weight,
+            open_stage.expires_ms - _EXPIRY_SLACK_MS,
+            max_weight=open_message.account_weight or open_message.weight,
+            isolated=effect.position < (open_message.alone_until or 0),
         )
 
-    def _cost(self, opened: wire.OpenStream, effect: recovery.RunUnit) -> float:
+    def _compute_cost(
+        self, open_message: wire.OpenStream, effect: recovery.RunUnit
+    ) -> float:
         """Returns the weighted tokens of a unit."""
         sharing = self._sharing()
         positions = len(effect.inputs)
-        prompt = opened.prompt_length - effect.position
+        prompt = open_message.prompt_length - effect.position
         prompt = min(max(prompt, 0), positions)
         cost = sharing.prompt_weight * prompt
         cost += sharing.generated_weight * (positions - prompt)
-        return max(cost, _LEAST_COST)
+        return max(cost, _MIN_COST)
--- a/caroblug/side/tests/test_batch_scheduler.py
+++ b/caroblug/side/tests/test_batch_scheduler.py
@@ -1,4 +1,4 @@
-"""The pump: bounded batches, order inside a stream, chunks of prompts."""
+"""The scheduler: bounded batches, order inside a stream, chunks of prompts."""
 
 import random
 
@@ -39,7 +39,7 @@
     def __init__(self):
         self.engine = _Engine()
         self.results = []
-        self.pump = BatchScheduler(
+        self.scheduler = BatchScheduler(
             self.engine,
             ManualClock(),
             make_metrics(),
@@ -49,12 +49,14 @@
             4,
             "fair",
         )
-        self.pump.start()
+        self.scheduler.start()
 
-    def submit(self, session, position, length, *, alone=False):
+    def submit(self, session, position, length, *, isolated=False):
         inputs = tuple(range(position, position + length))
         item = EngineItem(session, 0, 4, position, inputs, 1)
-        self.pump.submit("account", item, float(length), 1.0, alone=alone)
+        self.scheduler.submit(
+            "account", item, float(length), 1.0, isolated=isolated
+        )
 
     def settle(self):
         for _ in range(3):
@@ -72,7 +74,7 @@
     """A slow engine's memory grows with every caller who waits.
 
     Steps come faster than the engine runs them, long prompts among them; the
-    pump keeps them back, cuts them and sends a stream's parts in order.
+    scheduler keeps them back, cuts them and sends a stream's parts in order.
     """
     rng = random.Random(7)
     bench = _Bench()
@@ -84,7 +86,7 @@
         bench.submit(session, start, length)
         wanted[session] = start + length
     bench.settle()
-    assert bench.pump.backlog == sum(wanted.values())
+    assert bench.scheduler.backlog == sum(wanted.values())
     largest = 0
     while bench.engine.calls:
         assert bench.engine.positions <= 2 * _BATCH
@@ -93,7 +95,7 @@
         items = bench.end_call(rng)
         largest = max(largest, sum(len(i.inputs) for i in items))
     assert largest == _BATCH
-    assert bench.pump.backlog == 0
+    assert bench.scheduler.backlog == 0
     done = {}
     for result in bench.results:
         assert result.position == done.get(result.session, 0)
@@ -123,10 +125,10 @@
     bench.submit("long", 0, 400)
     bench.submit("other", 0, 2)
     bench.settle()
-    bench.pump.end("long")
+    bench.scheduler.end("long")
     while bench.engine.calls:
         bench.end_call()
-    assert bench.pump.backlog == 0
+    assert bench.scheduler.backlog == 0
     assert {r.session for r in bench.results} == {"other"}
 
 
@@ -138,9 +140,9 @@
     were suspected of its next crash.
     """
     bench = _Bench()
-    bench.submit("suspect", 0, 1, alone=True)
+    bench.submit("suspect", 0, 1, isolated=True)
     bench.settle()
-    bench.pump.end("forgotten")
+    bench.scheduler.end("forgotten")
     bench.settle()
     bench.submit("innocent", 0, 1)
     bench.settle()
@@ -149,7 +151,7 @@
     assert ended == []
     done.set()
     bench.settle()
-    assert list(bench.pump.in_engine) == ["suspect"]
+    assert list(bench.scheduler.sessions_in_engine) == ["suspect"]
 
 
 def test_step_is_not_called_together_with_a_chunk():
@@ -168,4 +170,4 @@
     assert sorted(called, key=sorted) == [{"long"}, {"short"}]
     while bench.engine.calls:
         bench.end_call()
-    assert bench.pump.backlog == 0
+    assert bench.scheduler.backlog == 0
--- a/caroblug/side/tests/test_batch_scheduler_fairness.py
+++ b/caroblug/side/tests/test_batch_scheduler_fairness.py
@@ -1,4 +1,4 @@
-"""The pump between accounts: overtaking, deadlines, suspects alone."""
+"""The scheduler between accounts: overtaking, deadlines, suspects alone."""
 
 import collections
 
@@ -16,7 +16,7 @@
         self.clock = ManualClock(1000)
         self.metrics = make_metrics()
         self.results = []
-        self.pump = BatchScheduler(
+        self.scheduler = BatchScheduler(
             self.engine,
             self.clock,
             self.metrics,
@@ -26,11 +26,11 @@
             4,
             queue,
         )
-        self.pump.start()
+        self.scheduler.start()
 
     def submit(self, account, number, **options):
         item = EngineItem(f"{account}.{number}", 0, 4, 0, (number,), 1)
-        self.pump.submit(account, item, 1.0, 1.0, **options)
+        self.scheduler.submit(account, item, 1.0, 1.0, **options)
 
     def settle(self):
         for _ in range(3):
@@ -92,7 +92,7 @@
     bench = _Bench()
     for number in range(2 * _BATCH):
         bench.submit("school-1", number)
-    bench.submit("school-1", 100, end_ms=2000)
+    bench.submit("school-1", 100, expires_ms=2000)
     bench.settle()
     bench.clock.advance(1000)
     while bench.engine.calls:
@@ -106,7 +106,7 @@
     bench = _Bench()
     bench.submit("school-1", 0)
     bench.settle()
-    bench.submit("poisoner", 1, alone=True)
+    bench.submit("poisoner", 1, isolated=True)
     bench.submit("school-1", 2)
     bench.settle()
     assert [i.session for i in bench.running()] == ["school-1.0"]
--- a/caroblug/side/tests/test_streams.py
+++ b/caroblug/side/tests/test_streams.py
@@ -20,7 +20,7 @@
         pass
 
 
-class _Pump:
+class _Scheduler:
     """Runs nothing and keeps the sessions that ended."""
 
     def __init__(self):
@@ -34,9 +34,15 @@
 
 
 def _open_first():
-    network, pump = _Network(), _Pump()
+    network, scheduler = _Network(), _Scheduler()
     streams = _streams.StageStreams(
-        "side-0", network, pump, ManualClock(), make_metrics(), 100, Sharing
+        "side-0",
+        network,
+        scheduler,
+        ManualClock(),
+        make_metrics(),
+        100,
+        Sharing,
     )
     chain = [
         wire.StageRef(f"side-{n}", "127.0.0.1", n, 8 * n, 8 * n + 8)
@@ -61,7 +67,7 @@
         )
     )
     network.sent.clear()
-    return streams, network, pump
+    return streams, network, scheduler
 
 
 def test_orphaned_stream_ends_along_the_chain():
@@ -70,11 +76,11 @@
     It opens its old attempt at the next stage, and only then learns that
     its entry has given it up.
     """
-    streams, network, pump = _open_first()
+    streams, network, scheduler = _open_first()
     streams.on_peer_lost("entry-a")
     assert network.sent == [("side-1", wire.Cancel("s", 1))]
     assert len(streams) == 0
-    assert pump.ended == ["s.1"]
+    assert scheduler.ended == ["s.1"]
 
 
 def test_unreachable_next_stage_is_told_to_the_entry():
@@ -95,10 +101,10 @@
     The replaced stage still knows the stage behind it, which lives on in
     the newer attempt and must not be told to end.
     """
-    streams, network, pump = _open_first()
+    streams, network, scheduler = _open_first()
     streams.on_cancel(wire.Cancel("s", 1, True))
     assert network.sent == []
-    assert pump.ended == ["s.1"]
+    assert scheduler.ended == ["s.1"]
 
 
 def test_next_stage_hears_all_that_the_first_one_knows():
