--- a/caroblug/side/__init__.py
+++ b/caroblug/side/__init__.py
@@ -1,4 +1,4 @@
-"""The side process: the only door to one backend server."""
+"""The side process: a proxy through which one backend server is reached."""
 
 from caroblug.side._batch_scheduler import BatchScheduler
 from caroblug.side._server import serve
--- a/caroblug/side/_crash_reporter.py
+++ b/caroblug/side/_crash_reporter.py
@@ -1,4 +1,4 @@
-"""CrashReporter of the backend server, and the requests suspected of them."""
+"""Reports of engine crashes and of the requests suspected of causing them."""
 
 import secrets
 from collections.abc import Callable, Iterable
@@ -19,14 +19,14 @@
 
 
 class CrashReporter:
-    """Tells entries which requests were in flight when the server crashed.
+    """Reports the requests that were in flight at a crash to the entries.
 
     Args:
         instance: Name of this instance.
-        network: Where messages are sent.
-        quarantine: Returns the bundle's quarantine.
+        network: Network that sends the reports.
+        quarantine: Returns the quarantine rule of the bundle in force.
         clock: Source of time.
-        metrics: Where crashes are counted.
+        metrics: Registry that counts crashes.
     """
 
     def __init__(
@@ -46,11 +46,13 @@
         self._crash_id = ""
 
     def on_engine_up(self) -> None:
-        """Takes it that the server runs: the next crash is another one."""
+        """Ends the current crash: the engine is up again."""
         self._crash_id = ""
 
     def on_crash(self, requests: Iterable[tuple[str, str, int]]) -> None:
-        """Takes a crash; several calls while it is down are one crash.
+        """Records a crash and broadcasts a suspicion of each request.
+
+        Several failed calls until the engine is up again count as one crash.
 
         Args:
             requests: Fingerprint, client account and one past the last
@@ -75,23 +77,23 @@
                 self._network.broadcast(_ENTRY_ROLE, message)
 
     def on_suspicion(self, message: wire.Suspicion) -> None:
-        """Takes what an entry passes on."""
+        """Records a suspicion that an entry forwards."""
         suspicion = suspicion_from_wire(message)
         self._suspicions.on_suspicion(suspicion, self._clock.now_ms())
 
     def on_entry_up(self, peer: PeerAddress) -> None:
-        """Tells a new entry of what is quarantined."""
+        """Sends the suspicions of quarantined requests to a new entry."""
         for suspicion in self._suspicions.quarantined(self._clock.now_ms()):
             self._network.send(peer, suspicion_to_wire(suspicion))
 
     def send_suspicions(self, entry: PeerAddress, fingerprint: str) -> None:
-        """Tells an entry what is known of a request."""
+        """Sends the suspicions of a request to an entry."""
         now_ms = self._clock.now_ms()
         for suspicion in self._suspicions.for_request(fingerprint, now_ms):
             self._network.send(entry, suspicion_to_wire(suspicion))
 
     def is_quarantined(self, fingerprint: str) -> bool:
-        """Tells whether a request may not run here."""
+        """Returns whether a request is quarantined and must not run here."""
         now_ms = self._clock.now_ms()
         return (
             self._suspicions.verdict(fingerprint, now_ms) is Verdict.QUARANTINED
--- a/caroblug/side/_engine_occupancy.py
+++ b/caroblug/side/_engine_occupancy.py
@@ -1,4 +1,4 @@
-"""What is in the engine now, by client account and by session."""
+"""Accounting of the items that are in the engine."""
 
 import collections
 from collections.abc import Mapping, Sequence
@@ -10,7 +10,11 @@
 
 
 class EngineOccupancy:
-    """Counts items and positions from when they are taken till answered."""
+    """Counts items and positions in the engine, by account and by session.
+
+    An item counts towards its account from the moment it is dequeued, and
+    towards the engine from the start of its call.
+    """
 
     def __init__(self) -> None:
         self.items = 0
@@ -23,43 +27,43 @@
 
     @property
     def positions(self) -> int:
-        """Positions in the engine."""
+        """Number of positions in the engine."""
         return sum(self._positions.values())
 
     @property
     def sessions(self) -> Mapping[str, int]:
-        """Sessions in the engine, with one past their last position there."""
+        """Sessions in the engine, each with one past its last position."""
         return dict(self._session_ends)
 
     def positions_with_priority(self, priority: int) -> int:
-        """Returns the positions in the engine in calls of a priority."""
+        """Returns the number of positions in calls with a priority."""
         return self._positions[priority]
 
     def has_half_of_heaviest(self, client_account: str) -> bool:
-        """Tells whether an account has half of what the heaviest has."""
+        """Returns whether an account has half the positions of the heaviest."""
         heaviest = max(self._positions_by_account.values(), default=0)
         return 2 * self._positions_by_account[client_account] >= heaviest
 
     def add_item(
         self, client_account: str, session: str, positions: int
     ) -> None:
-        """Counts an item that is about to go in."""
+        """Counts a dequeued item towards its account."""
         self._positions_by_account[client_account] += positions
         self._account_of[session] = client_account
 
     def extend_item(self, session: str, positions: int) -> None:
-        """Counts more positions of an item that is about to go in."""
+        """Counts further positions of a dequeued item."""
         self._positions_by_account[self._account_of[session]] += positions
 
     def begin_call(self, items: Sequence[EngineItem]) -> None:
-        """Counts a call, all of whose items have one priority."""
+        """Counts the items of a call that starts."""
         self.items += len(items)
         for item in items:
             self._positions[item.priority] += len(item.inputs)
             self._session_ends[item.session] = item.position + len(item.inputs)
 
     def end_call(self, items: Sequence[EngineItem]) -> None:
-        """Counts a call out that was answered, or was not."""
+        """Removes the items of a call that has succeeded or failed."""
         self.items -= len(items)
         for item in items:
             self._positions[item.priority] -= len(item.inputs)
--- a/caroblug/side/_journal.py
+++ b/caroblug/side/_journal.py
@@ -1,4 +1,4 @@
-"""Writes intents and outcomes to the log, many at once, and follows it."""
+"""Journal of calls: batched appends to the log, and reads that follow it."""
 
 import collections
 import random
@@ -38,27 +38,27 @@
 
 @attrs.frozen
 class JournalSettings:
-    """How a journal writes.
+    """Settings of a journal.
 
     Attributes:
-        interval_ms: Least time between the starts of two appends, so that
-            all owners together stay under the log's rate.
+        interval_ms: Minimum interval between the starts of two appends. It
+            keeps all owners together below the rate limit of the log.
     """
 
     interval_ms: int = 10
 
 
 class CallJournal:
-    """The log of one service's calls, as one owner sees it.
+    """Writes the calls of one service to the log and reads them back.
 
     Args:
-        log: The log service.
+        log: Client of the log service.
         service: Name of the service.
-        owner: Decides; made for the same fold.
-        fold: The fold of the service's stream.
+        owner: Decides which calls may run; it uses the same fold.
+        fold: Fold of the log stream of the service.
         clock: Source of time.
-        metrics: Where batches are counted.
-        settings: How it writes.
+        metrics: Registry that counts appends.
+        settings: Settings of the journal.
     """
 
     def __init__(
@@ -92,26 +92,35 @@
 
     @property
     def ready(self) -> bool:
-        """Whether the log answers and its end was reached once."""
+        """Whether the log is available and its end has been reached once."""
         return self._caught_up and self._log_up
 
     @property
     def caught_up(self) -> bool:
-        """Whether the log's end was reached once: earlier keys are known."""
+        """Whether the end of the log has been reached once.
+
+        From then on all earlier keys are known.
+        """
         return self._caught_up
 
     @property
     def pending(self) -> int:
-        """Intents and outcomes that are not on the log yet."""
+        """Number of intents and outcomes that are not on the log yet."""
         return len(self._owner) + self._owner.waiting
 
     def start(self) -> None:
-        """Starts to follow and to write."""
+        """Starts to read and to write the log in the background."""
         gevent.spawn(self._follow_forever)
         gevent.spawn(self._write_forever)
 
     def admit(self, key: bytes, request: bytes, within_ms: int) -> Admitted:
-        """Decides about a call; a new intent is queued."""
+        """Decides whether a call may run; queues the intent of a new call.
+
+        Args:
+            key: Digest of client account, service and idempotency key.
+            request: Digest of the request.
+            within_ms: Time in which the call must be made.
+        """
         now_ms = self._clock.now_ms()
         admitted = self._owner.admit(
             now_ms, key, request, within_ms, log_available=self.ready
@@ -122,7 +131,7 @@
         return admitted
 
     def wait_verdict(self, intent: IntentId) -> Verdict:
-        """Blocks until it is known whether an intent is first."""
+        """Blocks until it is decided whether an intent is first for its key."""
         result = self._verdicts.setdefault(intent, event.AsyncResult())
         try:
             return result.get()
@@ -130,29 +139,33 @@
             del self._verdicts[intent]
 
     def begin(self, key: bytes) -> bool:
-        """Tells, right before the send, whether a call may be made."""
+        """Returns, right before the send, whether a call may still be made."""
         begun = self._owner.begin(key, self._clock.now_ms())
         if not begun:
             self._metrics.count("calls_past_deadline")
         return begun
 
     def cancel(self, key: bytes) -> None:
-        """Ends an intent whose call has not been made."""
+        """Voids an intent whose call has not been made."""
         self._owner.cancel(key)
         self._wake.set()
 
     def finish(self, outcome: CallOutcome) -> None:
-        """Records an outcome; the caller need not wait for it."""
+        """Queues an outcome for the log; the caller does not wait for it."""
         self._cache_outcome(outcome)
         self._owner.finish(outcome)
         self._wake.set()
 
     def lookup(self, key: bytes) -> IntentState | None:
-        """Returns what is remembered of a key."""
+        """Returns the recorded state of a key; None if there is none."""
         return self._fold.lookup(key)
 
     def read_outcome(self, state: IntentState) -> CallOutcome | None:
-        """Returns a recorded answer, from the log if need be."""
+        """Returns a recorded outcome, from the cache or from the log.
+
+        Returns:
+            None if the log cannot be read or has no such record any more.
+        """
         cached = self._cached_outcomes.get(state.id)
         if cached is not None:
             return cached
@@ -175,8 +188,9 @@
     def _write_forever(self) -> None:
         while True:
             self._wake.wait()
-            # Outcomes wait a little for intents, whose callers wait: at a
-            # low rate an outcome then shares the next call's append.
+            # Callers wait for intents but not for outcomes. An outcome is
+            # delayed a little so that at a low rate it shares the append of
+            # the next intent.
             self._intent_queued.wait(_MAX_OUTCOME_DELAY_S)
             self._intent_queued.clear()
             self._throttle()
@@ -189,7 +203,7 @@
             self._commit(batch)
 
     def _wait_for_log(self) -> bool:
-        """Gives up what waits while the log is down, and waits for it."""
+        """Fails queued intents, waits, and returns whether the log is up."""
         self._resolve(self._owner.on_append_failed())
         gevent.sleep(_RETRY_DELAY_S)
         return self._log_up
@@ -204,8 +218,8 @@
     def _commit(self, batch: CallBatch) -> None:
         """Appends a batch and folds the log up to it.
 
-        Guards against an append whose answer is lost after it took effect:
-        the log is read from the last known offset before anything else, and
+        The response to a successful append may be lost. In this case the log
+        is read from the last known offset before anything else is done, and
         the batch is never appended again.
         """
         since_ms = self._last_append_ms = self._clock.now_ms()
@@ -229,7 +243,7 @@
         return self._fold.has_batch(batch.writer, batch.sequence)
 
     def _read_until_found(self, batch: CallBatch) -> bool:
-        """Reads to the log's end and tells whether the batch is there."""
+        """Reads to the end of the log and returns whether it has the batch."""
         while not self._is_on_log(batch):
             at_end = self._read(wait_ms=0)
             if at_end is not False:
@@ -251,7 +265,11 @@
                 gevent.sleep(_FOLLOW_INTERVAL_S)
 
     def _read(self, wait_ms: int) -> bool | None:
-        """Reads and folds; None if the log failed, else whether at its end."""
+        """Reads records and folds them.
+
+        Returns:
+            Whether the end of the log is reached; None if the read failed.
+        """
         records = self._log.read(
             self._stream, self._fold.next_offset, _MAX_READ_RECORDS, wait_ms
         )
@@ -283,7 +301,7 @@
         self._log_up = up
 
     def set_window(self, window_ms: int) -> None:
-        """Sets for how long a key is remembered."""
+        """Sets how long a key is retained."""
         self._owner.window_ms = window_ms
 
 
@@ -296,7 +314,7 @@
     settings: JournalSettings,
     window_ms: int,
 ) -> CallJournal:
-    """Returns a journal that has not been started."""
+    """Returns a journal that is not started yet."""
     fold = IntentFold()
     owner = IntentOwner(writer, fold, window_ms)
     return CallJournal(log, service, owner, fold, clock, metrics, settings)
--- a/caroblug/side/_lease.py
+++ b/caroblug/side/_lease.py
@@ -1,4 +1,4 @@
-"""The lease of one engine, kept on the log."""
+"""Lease of one engine, stored on the log."""
 
 import xxhash
 
@@ -16,14 +16,17 @@
 
 
 class EngineLease:
-    """Takes and frees the lease of one engine.
+    """Acquires and releases the lease of one engine.
+
+    The holder of the lease is the only instance that may send orders to the
+    engine.
 
     Args:
-        log: The log service.
+        log: Client of the log service.
         engine: Name of the engine.
-        holder_id: Identity of this life of this process.
+        holder_id: Identifier of this process, unique to each start.
         clock: Source of time.
-        term_ms: How long a lease lasts.
+        term_ms: Duration of a lease.
     """
 
     def __init__(
@@ -43,18 +46,21 @@
 
     @property
     def fencing_number(self) -> int | None:
-        """The number for an order sent right now, if it may be."""
+        """Fencing number for an order; None while the lease is not held."""
         return self._holder.fencing_number(self._clock.now_ms())
 
     def refresh(self) -> bool:
-        """Reads the log to its end; False while that is not possible."""
+        """Reads the log to its end and returns whether this succeeded."""
         return self._read_to_end()
 
     def acquire(self, version: int) -> bool:
-        """Tries to take the lease once; False while it cannot be had.
+        """Tries once to acquire the lease.
 
         Args:
-            version: Version of the bundle that asks for an order.
+            version: Version of the bundle that requires an order.
+
+        Returns:
+            Whether the lease is held.
         """
         if not self._read_to_end():
             return False
@@ -64,7 +70,7 @@
         return self.fencing_number is not None
 
     def release(self) -> None:
-        """Frees the lease, if it is held."""
+        """Releases the lease if it is held."""
         record = self._holder.release(self._clock.now_ms())
         if record is not None:
             self._append(record)
@@ -72,8 +78,9 @@
     def _append(self, record: LeaseRecord) -> None:
         """Appends a record and reads the log to its end.
 
-        An append whose answer is lost is found by the read, or, if it takes
-        effect later, does not follow the lease in force any more.
+        If the response to the append is lost, the read finds the record. A
+        record that appears only after the read no longer follows the lease in
+        force and has no effect.
         """
         self._log.append(self._stream, encode_lease(record))
         self._read_to_end()
--- a/caroblug/side/_monitored_engine.py
+++ b/caroblug/side/_monitored_engine.py
@@ -1,4 +1,4 @@
-"""Tells a hung engine from a busy one."""
+"""Health check that distinguishes a hung engine from a busy one."""
 
 import collections
 from collections.abc import Sequence
@@ -18,19 +18,20 @@
 
 
 class MonitoredEngine(EngineClient):
-    """Passes calls to an engine and notes when it last answered a batch.
+    """An engine client that detects a hung engine.
 
-    Guards against an engine that is frozen behind a side process which
-    lives: its connections stay open and no batch fails for a long time. It
-    is taken for hung when it does not say what it is in time, and either a
-    batch takes much longer than batches usually do or this is so twice
-    running; an engine that answers batches meanwhile is merely busy.
+    The connections of a frozen engine stay open, and its batches fail only
+    after a long timeout. Therefore the engine is also probed with a short
+    timeout. It is considered hung if a probe times out while a batch is
+    overdue, or if two probes in succession time out. An engine that completes
+    a batch during the probe is busy, not hung.
 
     Args:
-        engine: Runs batches; its timeout is long.
-        probe: Asks the same engine what it is; its timeout is short.
+        engine: Client that runs batches, with a long timeout.
+        probe: Client of the same engine for probes, with a short timeout.
         clock: Source of time.
-        probe_ms: Timeout of `probe`; what fails sooner is no timeout.
+        probe_ms: Timeout of `probe`. A probe that fails in less than half of
+            this time has not timed out.
     """
 
     def __init__(
@@ -59,9 +60,16 @@
     ) -> tuple[EngineResult, ...] | EngineFailure:
         """Runs a batch.
 
-        Guards against a cache that is never freed: a session that ends while
-        a batch of it is still in the engine would be made anew by that
-        batch. Its end is told with a later batch.
+        The end of a session is passed to the engine only when no batch of the
+        session is in the engine. Otherwise that batch would create the session
+        again, and its cache would never be freed.
+
+        Args:
+            items: Items to run; the positions of a session are in order.
+            ended: Sessions that have ended since the previous call.
+
+        Returns:
+            One result per item, or why the call failed.
         """
         start_ms = self._clock.now_ms()
         reportable = self._take_reportable_ends(ended)
@@ -93,9 +101,11 @@
         return reportable
 
     def describe(self) -> EngineDescription | EngineFailure:
-        """Returns what the engine says of itself, or that it is lost.
+        """Probes the engine and returns its description.
 
-        An engine that only was too busy to answer is described as before.
+        Returns:
+            The last known description if the engine is only too busy to
+            respond; a failure if it is hung or lost.
         """
         start_ms = self._clock.now_ms()
         outcome = self._probe.describe()
