--- a/caroblug/side/_at_most_once.py
+++ b/caroblug/side/_at_most_once.py
@@ -1,4 +1,4 @@
-"""Calls that may not be repeated: each key runs at most once."""
+"""Calls that must not be retried: each idempotency key runs at most once."""
 
 import hashlib
 import secrets
@@ -41,13 +41,13 @@
 
 
 class AtMostOnceCaller(PlainCaller):
-    """Makes a call with a key only when its intent is first on the log.
+    """Makes a call with a key only if its intent is first on the log.
 
     Args:
-        direct: Makes the calls.
-        journal: Intents and outcomes of this service.
-        metrics: Where verdicts are counted.
-        retention_ms: How long the log keeps its records.
+        direct: Caller that sends calls to the service.
+        journal: Journal of the intents and outcomes of this service.
+        metrics: Registry that counts admissions and verdicts.
+        retention_ms: How long the log retains its records.
     """
 
     def __init__(
@@ -65,15 +65,15 @@
 
     @property
     def pending(self) -> int:
-        """Intents and outcomes that are not on the log yet."""
+        """Number of intents and outcomes that are not on the log yet."""
         return self._journal.pending
 
     def start(self) -> None:
-        """Starts to follow and to write the log of calls."""
+        """Starts to read and to write the log of calls."""
         self._journal.start()
 
     def on_rule(self, rule: ServiceRule) -> None:
-        """Takes the window from a new bundle."""
+        """Applies the retention of keys from a new bundle."""
         if rule.remember_ms >= self._retention_ms:
             log_state(
                 "calls.window_too_long",
@@ -83,7 +83,7 @@
         self._journal.set_window(rule.remember_ms)
 
     def call(self, call: wire.PlainCall) -> wire.PlainReply:
-        """Runs a call and returns its answer or refusal."""
+        """Runs a call and returns its reply or a refusal."""
         if call.repeatable or not call.key:
             return self._direct.call(call)
         key = digest_parts(
@@ -145,7 +145,7 @@
         return reply
 
     def _join(self, call: wire.PlainCall, intent: IntentId) -> wire.PlainReply:
-        """Waits for the same request's answer, as long as the call may."""
+        """Waits for the reply to the same request until the call's deadline."""
         result = self._pending_replies.get(intent)
         reply = None
         if result is not None:
@@ -173,22 +173,23 @@
         return refuse_call(
             call,
             RefusalType.LOG_UNAVAILABLE,
-            "the call has run; its answer cannot be read back now",
+            "the call has run; its response cannot be read from the log now",
             Ran.YES,
             _RETRY_AFTER_MS,
         )
 
     def _refuse_unavailable(self, call: wire.PlainCall) -> wire.PlainReply:
-        """Says that nothing was begun, or that the past is not known.
+        """Returns a refusal because the log is unavailable.
 
-        An owner that has never read the log to its end does not know whether
-        an earlier sending of the key has run: it says so.
+        This call has not run. An owner that has never read the log to its end
+        does not know whether an earlier call with the same key has run, and
+        then the refusal says so.
         """
         ran = Ran.NO if self._journal.caught_up else Ran.UNKNOWN
         return refuse_call(
             call,
             RefusalType.LOG_UNAVAILABLE,
-            "the log service takes no intents now; come back with this key",
+            "the log service is unavailable; retry with the same key",
             ran,
             _RETRY_AFTER_MS,
         )
@@ -221,9 +222,9 @@
         return refuse_call(
             call,
             RefusalType.ANSWER_NOT_KEPT,
-            f"the call has run; its answer of status {outcome.status} is"
-            f" over {_MAX_STORED_BODY_BYTES} bytes and was not kept;"
-            f" its digest is {outcome.body_digest}",
+            f"the call has run; its response with status {outcome.status} is"
+            f" over {_MAX_STORED_BODY_BYTES} bytes and was not stored;"
+            f" the digest of its body is {outcome.body_digest}",
             Ran.YES,
             retry_after_ms=0,
         )
@@ -258,7 +259,7 @@
     return refuse_call(
         call,
         RefusalType.KEY_CONFLICT,
-        "the key was used with another request; this one did not run",
+        "the key was used for a different request; this one did not run",
         Ran.NO,
         retry_after_ms=0,
     )
@@ -268,7 +269,7 @@
     return refuse_call(
         call,
         RefusalType.OUTCOME_UNKNOWN,
-        "a call with this key was begun, and how it ended is not known",
+        "a call with this key has started; its outcome is unknown",
         Ran.UNKNOWN,
         _RETRY_AFTER_MS,
     )
@@ -280,7 +281,7 @@
     clock: Clock,
     metrics: Metrics,
 ) -> PlainCallHandler:
-    """Returns the calls of the plain service in the settings."""
+    """Returns the call handler of the plain service in the settings."""
     plain = settings.plain
     journal = make_journal(
         make_log_service(settings.log.host, settings.log.port),
--- a/caroblug/side/_open_stage.py
+++ b/caroblug/side/_open_stage.py
@@ -1,4 +1,4 @@
-"""One stream at a side process, with its newest open message."""
+"""State of one stream at a side process."""
 
 import copy
 import functools
@@ -14,7 +14,7 @@
 
 
 def address_of(ref: wire.StageRef) -> PeerAddress:
-    """Returns the address that a stage reference names."""
+    """Returns the peer address in a stage reference."""
     return _make_address(ref.instance, ref.host, ref.port)
 
 
@@ -25,12 +25,16 @@
 
 @attrs.define
 class OpenStage:
-    """A stream with the newest open message that it has had.
-
-    `in_flight_peer` is the instance that this stage feeds, empty if none.
-
-    The session is the stream's name at the engine. It is never used again,
-    so that a late answer for a forgotten stream can't reach its successor.
+    """A stream with its newest open message.
+
+    Attributes:
+        stream: State of the stream at this stage.
+        open_message: Newest open message of the stream.
+        expires_ms: Time after which the stream is removed.
+        session: Identifier of the stream at the engine. It is never reused, so
+            that a late result for a removed stream can't reach its successor.
+        in_flight_peer: Instance to which this stage sends and whose work in
+            flight is counted; empty if there is none.
     """
 
     stream: StageStream
@@ -61,7 +65,7 @@
 
     @property
     def downstream_instance(self) -> str:
-        """Instance to which this stage sends; empty if it is its own."""
+        """Instance to which this stage sends; empty if it is this one."""
         if not self.stream.is_last:
             return self.next.instance
         return "" if self.stream.is_first else self.first.instance
@@ -70,7 +74,12 @@
 def has_same_layers(
     open_stage: OpenStage, open_message: wire.OpenStream
 ) -> bool:
-    """Tells whether the kept outputs and cache fit the new chain."""
+    """Returns whether journal and cache are valid for a new chain.
+
+    Args:
+        open_stage: The stream as it is open here.
+        open_message: Open message with the new chain.
+    """
     stage_ref = open_message.chain[open_message.stage]
     return (
         open_stage.stage_ref.first_layer == stage_ref.first_layer
@@ -83,8 +92,8 @@
 ) -> wire.OpenStream:
     """Returns the open message for the next stage.
 
-    Guards against a field that the first stage knows and the others don't:
-    everything is copied but what belongs to one stage alone.
+    All fields are copied except those that belong to one stage, so that a new
+    field of the message reaches every stage.
     """
     next_message = copy.copy(open_message)
     next_message.stage = open_message.stage + 1
--- a/caroblug/side/_placement_reconciler.py
+++ b/caroblug/side/_placement_reconciler.py
@@ -1,4 +1,4 @@
-"""Keeps an engine in the state that the bundle places it in."""
+"""Reconciliation of an engine's loaded weights with its placement."""
 
 import random
 import secrets
@@ -31,11 +31,11 @@
 
 @attrs.frozen
 class PlacementTarget:
-    """Where the bundle in force places an engine.
+    """Placement of an engine in the bundle in force.
 
     Attributes:
         version: Version of the bundle.
-        placement: The state.
+        placement: State that the engine must load.
     """
 
     version: int
@@ -43,22 +43,23 @@
 
 
 class PlacementReconciler:
-    """Orders the engine whenever its state is not the placed one.
+    """Sends an order whenever the engine's state differs from its placement.
 
-    Guards against a paused predecessor's late order at an engine that
-    ignores numbers: orders are whole states, and the state is looked at
-    again and again, so that a late order is put right at the next look.
+    An engine that does not check fencing numbers may carry out a late order
+    of a predecessor that was paused. Orders name complete states and the state
+    is polled, so that the next poll corrects the effect of a late order.
 
     Args:
-        orders: Orders of the engine.
-        lease: The lease of the engine.
-        weights: The weight store; None if there is none to ask.
+        orders: Client that sends orders to the engine.
+        lease: Lease of the engine.
+        weights: Client of the weight store; None if there is no store.
         target: Returns the engine's placement in the bundle in force.
-        busy: Tells whether streams still run on the engine.
-        on_ordered: Called after an order, done or not.
-        on_foreign_change: Called when somebody else has changed the engine.
+        busy: Returns whether streams still run on the engine.
+        on_ordered: Called after each order, successful or not.
+        on_foreign_change: Called when the state of the engine has changed
+            without an order of this process.
         clock: Source of time.
-        metrics: Where orders are counted.
+        metrics: Registry that counts orders.
     """
 
     def __init__(
@@ -89,11 +90,11 @@
 
     @property
     def changing(self) -> bool:
-        """Whether an order is about to be given: no new stream is taken."""
+        """Whether an order is imminent, so that new streams are refused."""
         return self._changing
 
     def run(self) -> None:
-        """Looks at the engine for ever."""
+        """Polls the state of the engine and reconciles it forever."""
         while True:
             self._reconcile()
             gevent.sleep(_POLL_INTERVAL_S)
@@ -118,11 +119,10 @@
             self._send_order(target.placement, ticket)
 
     def _check_state(self, state: Placement) -> None:
-        """Notes the engine's state, and whether somebody else changed it.
+        """Records the engine's state and detects changes by other processes.
 
-        Guards against streams that run on over a late order of a paused
-        predecessor: the engine has lost their caches, and their answers
-        would be wrong from there.
+        A late order of a paused predecessor clears the caches of the engine.
+        Streams that continued after it would get wrong results.
         """
         last_state, self._last_state = self._last_state, state
         if last_state is not None and last_state != state:
@@ -130,10 +130,14 @@
             self._on_foreign_change()
 
     def _prepare_order(self, placement: Placement) -> str | None:
-        """Returns the store's ticket once an order could follow.
+        """Returns the ticket for an order once an order is possible.
 
-        Until then the engine goes on to serve what it holds: also while the
-        log service is down, or many engines wait for the weight store.
+        Until then the engine continues to serve its loaded weights, for
+        example while the log service is down or the weight store is busy.
+
+        Returns:
+            The ticket, empty if there is no weight store; None if an order is
+            not possible yet.
         """
         if self._clock.now_ms() < self._next_reservation_ms:
             return None
@@ -142,7 +146,7 @@
         return self._reserve_ticket(placement)
 
     def _reserve_ticket(self, placement: Placement) -> str | None:
-        """Returns the store's ticket, asked for once; None if not yet."""
+        """Returns a ticket of the weight store, reserved once per placement."""
         if self._weights is None:
             return ""
         if self._ticket is not None and self._ticket[0] == placement:
@@ -159,7 +163,7 @@
         self._metrics.count(
             "weights_refused", outcome=type(reserved).__name__.lower()
         )
-        # Many engines are told to come back at once; the jitter spreads them.
+        # Many engines get the same retry time; jitter spreads their retries.
         spread = 1 + random.random() * _JITTER
         self._next_reservation_ms = self._clock.now_ms() + int(wait_ms * spread)
         return None
@@ -175,7 +179,8 @@
         self._last_state = None
         if isinstance(outcome, OrderTaken):
             self._ticket = None
-            # A late order may land before the next look, which must see it.
+            # A late order may take effect before the next poll, which must
+            # detect it.
             self._last_state = placement
         self._on_ordered()
 
@@ -194,7 +199,7 @@
     clock: Clock,
     metrics: Metrics,
 ) -> PlacementReconciler:
-    """Returns the keeper of the engine in the settings."""
+    """Returns the reconciler of the engine in the settings."""
     store = settings.weight_store
     lease = EngineLease(
         make_log_service(settings.log.host, settings.log.port),
--- a/caroblug/side/_plain.py
+++ b/caroblug/side/_plain.py
@@ -1,4 +1,4 @@
-"""Calls of a plain service through its side process."""
+"""Calls to a plain HTTP service, made by its side process."""
 
 import abc
 from collections.abc import Callable
@@ -25,33 +25,33 @@
 
 
 class PlainCaller(abc.ABC):
-    """Answers calls of a plain service."""
+    """Interface for making calls to a plain service."""
 
     @property
     def pending(self) -> int:
-        """What must still be written before the process may end."""
+        """Number of records to write before the process may exit."""
         return 0
 
     def start(self) -> None:
-        """Starts what the caller needs in the background."""
+        """Starts background work."""
         return
 
     def on_rule(self, rule: ServiceRule) -> None:
-        """Takes the service's rule from a new bundle."""
+        """Applies the rule of the service from a new bundle."""
         del rule
 
     @abc.abstractmethod
     def call(self, call: wire.PlainCall) -> wire.PlainReply:
-        """Runs a call and returns its answer or refusal; may block."""
+        """Runs a call and returns its reply or a refusal; may block."""
 
 
 class DirectCaller(PlainCaller):
-    """Passes each call to the service.
+    """Sends each call to the service.
 
     Args:
         host: IP address of the service.
-        port: Its port.
-        timeout_ms: How long a call may take.
+        port: Port of the service.
+        timeout_ms: Timeout of a call.
     """
 
     def __init__(self, host: str, port: int, timeout_ms: int) -> None:
@@ -61,7 +61,7 @@
         self._client = JsonHttpClient(host, port, timeout_ms, connections=64)
 
     def call(self, call: wire.PlainCall) -> wire.PlainReply:
-        """Runs a call and returns its answer or refusal."""
+        """Runs a call and returns its reply or a refusal."""
         if not call.repeatable:
             return self.call_at_most_once(call, lambda: True)
         response = self._client.request(
@@ -76,7 +76,8 @@
 
         Args:
             call: The call.
-            may_send: Asked right before the first byte leaves.
+            may_send: Called right before the first byte is sent. The call is
+                made only if it returns True.
         """
         response = request_once(
             self._host,
@@ -139,13 +140,13 @@
 
 
 class PlainCallHandler:
-    """The calls that run at this side process.
+    """Handles the calls that entries send to this side process.
 
     Args:
         service: Name of the service.
-        caller: Runs them.
-        network: Where answers are sent.
-        metrics: Where they are counted.
+        caller: Makes the calls.
+        network: Network that sends the replies.
+        metrics: Registry that counts calls.
     """
 
     def __init__(
@@ -166,15 +167,15 @@
 
     @property
     def busy(self) -> bool:
-        """Whether calls run or their outcomes are still unwritten."""
+        """Whether calls run or their outcomes are not on the log yet."""
         return self._running > 0 or self._caller.pending > 0
 
     def start(self) -> None:
-        """Starts to follow the log of calls."""
+        """Starts the background work of the caller."""
         self._caller.start()
 
     def on_head(self, head: Head) -> None:
-        """Takes a new bundle."""
+        """Applies the service's rule from a new bundle."""
         rule = head.bundle.services.get(self._service)
         if rule is not None:
             self._caller.on_rule(rule)
@@ -182,10 +183,17 @@
     def on_call(
         self, peer: PeerAddress, call: wire.PlainCall, *, leaving: bool
     ) -> None:
-        """Takes a call from an entry."""
+        """Handles a call from an entry.
+
+        Args:
+            peer: The entry.
+            call: The call.
+            leaving: Whether this instance is draining; the call is refused
+                then.
+        """
         if leaving:
             reply = refuse_call(
-                call, RefusalType.LEAVING, "instance is leaving", Ran.NO
+                call, RefusalType.LEAVING, "instance is draining", Ran.NO
             )
             self._network.send(peer, reply)
             return
