--- a/caroblug/side/_settings.py
+++ b/caroblug/side/_settings.py
@@ -9,7 +9,7 @@
 
 @attrs.frozen(kw_only=True)
 class PlainSettings:
-    """The plain service that this side process stands beside."""
+    """Settings of the plain service behind a side process."""
 
     service: str = name("Name of the service in the bundle.")
     host: str = text("IP address.")
@@ -18,51 +18,75 @@
 
 @attrs.frozen(kw_only=True)
 class SideSettings(NodeSettings):
-    """Settings of a side process: it has either an engine or a service.
+    """Settings of a side process, for either an engine or a plain service.
 
     Attributes:
-        engine: The model engine.
+        engine: Address of the model engine.
         plain: The plain service.
-        batches: Calls to the engine at once.
-        engine_timeout_ms: How long one batch may take.
-        engine_probe_ms: How long the engine may take to say what it is.
-        report_ms: Least time between load reports.
-        report_bytes_per_s: Budget of all load reports.
-        queue: Order of waiting work; `fifo` is a baseline for measurements.
-        journal_positions: Outputs kept per stream for a new next stage.
+        batches: Maximum number of concurrent calls to the engine.
+        engine_timeout_ms: Timeout of a batch.
+        engine_probe_ms: Timeout of a health check of the engine.
+        report_ms: Minimum interval between load reports.
+        report_bytes_per_s: Bandwidth limit of all load reports together.
+        queue: Scheduling of queued work; `fifo` is a baseline for
+            measurements.
+        journal_positions: Outputs retained per stream, to be sent again to a
+            replacement of the next stage.
         engine_name: Name of the engine in the bundle's placements; the
-            instance's own name if empty. A successor has the same.
-        weight_store: The weight store; without one, engines load freely.
-        lease_ms: How long a lease of the engine lasts.
-        intent_interval_ms: Least time between two appends of intents; all
-            owners together must stay under the log service's rate.
-        positions: Positions of all open streams together, prompts and answers
-            to come included; more streams are refused.
+            instance's own name if empty. A replacement of this instance has
+            the same engine name.
+        weight_store: Address of the weight store; without one, engines load
+            weights without a ticket.
+        lease_ms: Duration of a lease of the engine.
+        intent_interval_ms: Minimum interval between two appends of intents.
+            All owners together must stay below the rate limit of the log
+            service.
+        positions: Maximum number of positions of all open streams together,
+            counting each stream at its full length; more streams are refused.
     """
 
     engine: Address | None = None
     plain: PlainSettings | None = None
-    batches: int = count(1, 16, "Calls to the engine at once.", 16)
-    engine_timeout_ms: int = duration_ms("How long a batch may take.", 10_000)
-    engine_probe_ms: int = duration_ms("How long a describe may take.", 250)
-    report_ms: int = duration_ms("Least time between load reports.", 200)
+    batches: int = count(
+        1, 16, "Maximum number of concurrent calls to the engine.", 16
+    )
+    engine_timeout_ms: int = duration_ms("Timeout of a batch.", 10_000)
+    engine_probe_ms: int = duration_ms(
+        "Timeout of a health check of the engine.", 250
+    )
+    report_ms: int = duration_ms("Minimum interval between load reports.", 200)
     report_bytes_per_s: int = count(
-        100, 1_000_000, "Budget of all load reports, in bytes a second.", 2000
+        100,
+        1_000_000,
+        "Bandwidth limit of all load reports, in bytes per second.",
+        2000,
     )
-    queue: str = choice(QUEUE_KINDS, "Order of waiting work.", "fair")
+    queue: str = choice(QUEUE_KINDS, "Scheduling of queued work.", "fair")
     journal_positions: int = count(
-        1, 1_000_000, "Outputs kept per stream for a new next stage.", 8192
+        1,
+        1_000_000,
+        "Outputs retained per stream for a replaced next stage.",
+        8192,
     )
     positions: int = count(
-        1, 100_000_000, "Positions of all open streams together.", 1_000_000
+        1,
+        100_000_000,
+        "Maximum positions of all open streams together.",
+        1_000_000,
     )
 
-    intent_interval_ms: int = duration_ms("Time between appends.", 10)
+    intent_interval_ms: int = duration_ms(
+        "Minimum interval between appends.", 10
+    )
 
-    engine_name: str = text("Name in the bundle.", "", low=0, high=63)
+    engine_name: str = text(
+        "Name of the engine in the bundle.", "", low=0, high=63
+    )
     weight_store: Address | None = None
-    lease_ms: int = duration_ms("How long a lease of the engine lasts.", 5000)
+    lease_ms: int = duration_ms("Duration of a lease of the engine.", 5000)
 
     def __attrs_post_init__(self) -> None:
         if (self.engine is None) == (self.plain is None):
-            raise ValueError("give either [engine] or [plain]")
+            raise ValueError(
+                "exactly one of [engine] and [plain] must be given"
+            )
