--- a/caroblug/side/_batch_scheduler.py
+++ b/caroblug/side/_batch_scheduler.py
@@ -1,4 +1,4 @@
-"""Feeds one engine: fair order, bounded batches, one unit per stream."""
+"""Scheduling of batches for one engine, with fair queueing."""
 
 import collections
 import sys
@@ -51,20 +51,20 @@
 
 
 class BatchScheduler:
-    """Takes waiting items in fair order into batches.
+    """Combines queued items into batches in fair order.
 
-    At most two batches of positions are in the engine, and two more of
-    accounts that have too little there.
+    At most two batches of positions are in the engine, and at most two more
+    of accounts that have less than their share there.
 
     Args:
-        engine: The engine.
+        engine: Client of the engine.
         clock: Source of time.
-        metrics: Where waits and batches are recorded.
-        on_results: Called with the results of a batch.
-        on_failed: Called when a batch had no answer, with every session in
-            the engine and one past its last position there.
-        batch: Positions in one batch.
-        batches: Calls to the engine at once.
+        metrics: Registry that records queue waits and batches.
+        on_results: Called with the results of a call.
+        on_failed: Called when a call has failed, with every session in the
+            engine and one past its last position.
+        batch: Maximum number of positions in a batch.
+        batches: Maximum number of concurrent calls to the engine.
         queue: Kind of queue, one of `QUEUE_KINDS`.
     """
 
@@ -100,37 +100,37 @@
 
     @property
     def waiting(self) -> int:
-        """Items that wait."""
+        """Number of queued items."""
         queued = len(self._queue) + len(self._suspects)
         return queued + sum(len(h) for h in self._held_items.values())
 
     @property
     def running(self) -> int:
-        """Items in the engine."""
+        """Number of items in the engine."""
         return self._occupancy.items
 
     @property
     def backlog(self) -> int:
-        """Positions that wait or are in the engine."""
+        """Number of positions that are queued or in the engine."""
         return self._queued_positions + self._occupancy.positions
 
     @property
     def chunk(self) -> int:
-        """Positions of one stream that go to the engine at once."""
+        """Maximum number of positions of one item."""
         return max(1, self.batch // _CHUNKS_PER_BATCH)
 
     @property
     def sessions_in_engine(self) -> Mapping[str, int]:
-        """Sessions in the engine, with one past their last position there."""
+        """Sessions in the engine, each with one past its last position."""
         return self._occupancy.sessions
 
     @property
     def client_accounts(self) -> int:
-        """Accounts with streams here."""
+        """Number of accounts with open streams."""
         return len(self._weights)
 
     def start(self) -> None:
-        """Starts one greenlet for each call that may be under way."""
+        """Starts one worker greenlet for each concurrent call."""
         for _ in range(self.batches + _MAX_OVERTAKING_CALLS):
             gevent.spawn(self._work_forever)
 
@@ -145,22 +145,22 @@
         max_weight: float = 1.0,
         isolated: bool = False,
     ) -> None:
-        """Queues an item, a long one in chunks.
+        """Queues an item; a long one is split into chunks.
 
-        Guards against two units of one stream in the engine at once, which
-        could be run out of order: a stream's next unit is held until the one
-        before it has been answered. Guards also against a long prompt that
-        would hold up every other stream's next token for its whole prefill:
-        between two chunks the others have their turn.
+        Two items of one stream in the engine at once could run out of order.
+        Therefore an item is held back until the previous item of its stream
+        has completed. Chunks keep a long prompt from delaying the next token
+        of all other streams by its whole prefill: other items run between two
+        chunks.
 
         Args:
-            client_account: Whose item it is.
+            client_account: Account that owns the item.
             item: The item.
-            cost: Its cost in weighted tokens, > 0.
-            weight: Weight of one of the account's streams, > 0.
-            expires_ms: Time after which it is of no use.
-            max_weight: The account's own weight, > 0.
-            isolated: Whether nothing else may be in the engine with it.
+            cost: Cost of the item in weighted tokens, > 0.
+            weight: Weight of one stream of the account, > 0.
+            expires_ms: Time after which the item is dropped.
+            max_weight: Weight of the account, > 0.
+            isolated: Whether the item must be alone in the engine.
         """
         account_weight = self._weights.on_stream(
             client_account, item.session, weight, max_weight
@@ -182,7 +182,7 @@
             )
 
     def end(self, session: str) -> None:
-        """Drops what waits of a stream and lets the engine free its cache."""
+        """Drops the queued items of a stream and frees its cache."""
         held = self._held_items.get(session)
         if held is not None:
             self._dropped_sessions.add(session)
@@ -213,16 +213,15 @@
         self._wake.set()
 
     def _work_forever(self) -> None:
-        """Makes one call after the other.
+        """Sends items to the engine, one call after another.
 
-        A step goes to the engine at once while few calls are under way: held
-        back until one of them ends, it would miss the start of the engine's
-        next batch and wait for a whole one more. With more calls under way
-        the engine has enough to do, and gathering for a moment keeps the
-        calls full.
+        While few calls are running, a step is sent immediately. If it were
+        held back until a call ends, it would miss the start of the engine's
+        next batch and wait for another whole batch. While more calls are
+        running, the engine has enough work, and a short delay fills the calls.
 
-        Steps and chunks go in calls of their own: a call is answered when its
-        last item has run, and a chunk may be left for the engine's next batch.
+        Steps and chunks are sent in separate calls. A call returns when its
+        last item has run, and the engine may defer a chunk to its next batch.
         """
         while True:
             self._wake.wait()
@@ -232,7 +231,8 @@
             if not items and not self._ended_sessions:
                 self._wake.clear()
                 continue
-            # Counted before any other greenlet takes more.
+            # Must precede any switch to another greenlet, which would dequeue
+            # more than the engine may hold.
             self._occupancy.begin_call(items)
             steps = [i for i in items if len(i.inputs) <= _MAX_STEP_POSITIONS]
             chunks = [i for i in items if len(i.inputs) > _MAX_STEP_POSITIONS]
@@ -257,7 +257,8 @@
         self._metrics.count("engine_items", len(items))
         self._metrics.count("engine_positions", positions)
         if items:
-            # A call that only ends sessions may return while a suspect runs.
+            # A call that only ends sessions may return while a suspect still
+            # runs, so it must not count as the end of the suspect's call.
             self._suspects.on_done()
         if isinstance(outcome, EngineFailure):
             self._on_call_failed(items, sessions_in_engine, outcome)
@@ -265,7 +266,7 @@
             self._on_call_done(items, outcome)
 
     def _next_items(self) -> list[EngineItem]:
-        """Takes a batch in fair order, or a suspect's item alone."""
+        """Returns the items of the next batch, or the item of a suspect."""
         source = self._suspects.next_source(
             self._occupancy.items, len(self._queue)
         )
@@ -283,11 +284,11 @@
         return []
 
     def _next_batch(self) -> list[EngineItem]:
-        """Takes what fits into one batch and into the engine.
+        """Dequeues the items that fit into one batch and into the engine.
 
-        An item that does not fit whole is cut: were it sent whole, the engine
-        would run its end in another batch, and the call's other results would
-        wait for that.
+        An item that does not fit is split. If it were sent whole, the engine
+        would run its end in another batch and delay the other results of the
+        call.
         """
         max_positions = self.batch * _MAX_BATCHES_IN_ENGINE
         if self._occupancy.positions_with_priority(NORMAL_PRIORITY):
@@ -309,13 +310,19 @@
     def _dequeue_items(
         self, free_positions: int, priority: int
     ) -> list[EngineItem]:
-        """Takes items in fair order.
+        """Dequeues items in fair order.
 
-        Guards against a light account that waits behind the batches which a
-        heavy one has in the engine already: while it has less than half of
-        what the heaviest has there, its items go in at once, in a call of their
-        own, and an engine that honours priorities runs them next. They are
-        not mixed with others in a call, which is answered as a whole.
+        A light account would otherwise wait behind the batches that a heavy
+        account already has in the engine. While an account has less than half
+        the positions of the heaviest account there, its items are sent at once
+        with the overtaking priority, and an engine that supports priorities
+        runs them next. They get a call of their own, because a call returns
+        only when all its items have run.
+
+        Args:
+            free_positions: Number of positions that fit into the batch.
+            priority: Priority of the call; with `OVERTAKING_PRIORITY` only
+                items of light accounts are dequeued.
         """
         items: list[EngineItem] = []
         while len(self._queue) and free_positions > 0:
@@ -344,7 +351,7 @@
     def _add_held_chunks(
         self, items: list[EngineItem], free_positions: int
     ) -> None:
-        """Adds held chunks to their streams' items: nobody else waits."""
+        """Extends items by held chunks of their streams; the queue is empty."""
         for index, item in enumerate(items):
             held = self._held_items[item.session]
             while held and len(held[0].item.inputs) <= free_positions:
@@ -358,7 +365,11 @@
     def _split_item(
         self, queued_item: _QueuedItem, free_positions: int
     ) -> EngineItem:
-        """Returns the part that fits; the rest is the stream's next unit."""
+        """Returns the part of an item that fits and holds back the rest.
+
+        The rest is the next item of the stream. Its cost is almost zero, as
+        the cost of the whole item has been charged.
+        """
         item = queued_item.item
         remainder = attrs.evolve(
             queued_item,
@@ -370,10 +381,10 @@
         return _slice_item(item, 0, free_positions)
 
     def _should_run(self, queued_item: _QueuedItem) -> bool:
-        """Tells whether an item still is to run; lets go of it if not.
+        """Returns whether a dequeued item should run, and drops it otherwise.
 
-        Guards against work for a caller that no longer waits: an item past
-        its deadline would cost the engine as much as a useful one.
+        An item is dropped if its stream has ended or its deadline has passed:
+        it would cost the engine as much as a useful item.
         """
         now_ms = self._clock.now_ms()
         self._record_wait_ms(now_ms - queued_item.queued_ms)
@@ -412,7 +423,7 @@
         self._dropped_sessions.discard(session)
 
     def _queue_next(self, session: str) -> None:
-        """Lets the stream's next unit be queued."""
+        """Queues the next held item of a stream."""
         held = self._held_items.get(session)
         if session in self._dropped_sessions:
             self._dropped_sessions.discard(session)
@@ -426,7 +437,7 @@
 
 
 def _split_into_chunks(item: EngineItem, chunk: int) -> list[EngineItem]:
-    """Returns an item cut into parts of at most `chunk` positions."""
+    """Returns an item split into parts of at most `chunk` positions."""
     length = len(item.inputs)
     if length <= chunk:
         return [item]
@@ -437,7 +448,7 @@
 
 
 def _slice_item(item: EngineItem, start: int, end: int) -> EngineItem:
-    """Returns the part of an item from one input to another."""
+    """Returns the part of an item from input `start` up to `end`."""
     return attrs.evolve(
         item,
         position=item.position + start,
--- a/caroblug/side/_server.py
+++ b/caroblug/side/_server.py
@@ -1,4 +1,4 @@
-"""The side program: wires its parts together."""
+"""The side process: construction, message dispatch and load reports."""
 
 from collections.abc import Mapping
 
@@ -51,10 +51,10 @@
 
 
 class SideServer(PeerHandler):
-    """One side process.
+    """A side process for an engine or a plain service.
 
     Args:
-        settings: Its settings.
+        settings: Settings of the process.
     """
 
     def __init__(self, settings: SideSettings) -> None:
@@ -105,7 +105,7 @@
 
     @property
     def ready(self) -> bool:
-        """Whether new work is taken."""
+        """Whether new work is accepted."""
         up = self._call_handler is not None or self._description is not None
         return up and self.bundles.ready and not self.lifetime.leaving
 
@@ -134,7 +134,7 @@
         http.stop()
 
     def on_frame(self, peer: PeerAddress, frame: wire.Frame) -> None:
-        """Takes a frame from a peer."""
+        """Dispatches the messages in a frame."""
         for probe in frame.probes or ():
             if not probe.answer:
                 self.network.send(peer, wire.LinkProbe(probe.sent_ms, True))
@@ -150,7 +150,7 @@
                 )
 
     def on_peer_up(self, peer: PeerAddress) -> None:
-        """Tells a new entry about this process."""
+        """Sends suspicions and a load report to a new entry."""
         self.fleet.on_peer_up(peer)
         if peer.role == _ENTRY_ROLE:
             self._crash_reporter.on_entry_up(peer)
@@ -158,7 +158,7 @@
             self.network.send(peer, self._make_report())
 
     def on_peer_lost(self, peer: PeerAddress, reason: str) -> None:
-        """Lets the entries know which streams this cuts."""
+        """Ends or reports the streams that depend on a lost peer."""
         del reason
         self.fleet.on_peer_lost(peer)
         if self._streams is not None:
@@ -248,13 +248,15 @@
         return placement and PlacementTarget(head.version, placement)
 
     def _on_ordered(self) -> None:
-        """Forgets the engine's description, which is read anew."""
+        """Discards the engine's description; the next probe reads it again."""
         self._description = None
         self._report()
 
     def _on_foreign_change(self) -> None:
-        """Gives up the streams: they run on elsewhere."""
-        failed = EngineFailure("the engine was ordered by somebody else")
+        """Fails the streams; their entries run them on other instances."""
+        failed = EngineFailure(
+            "another process changed the state of the engine"
+        )
         self._on_engine_lost(self._scheduler.sessions_in_engine, failed)
 
     def _rejects_new_work(self) -> bool:
@@ -298,7 +300,11 @@
     def _on_engine_lost(
         self, sessions_in_engine: Mapping[str, int], failed: EngineFailure
     ) -> None:
-        """Tells entries, of suspects first: they retry what they hear of."""
+        """Reports a lost engine and fails its streams.
+
+        Suspicions are sent before the failures, because an entry retries a
+        request as soon as it receives its failure.
+        """
         if failed.crashed:
             requests = self._streams.open_messages_of(sessions_in_engine)
             self._crash_reporter.on_crash(
@@ -383,5 +389,5 @@
 
 
 def serve(settings: SideSettings) -> None:
-    """Runs the side program."""
+    """Runs the side process until it has drained."""
     SideServer(settings).run()
--- a/caroblug/side/_streams.py
+++ b/caroblug/side/_streams.py
@@ -1,4 +1,4 @@
-"""The streams at one side process: messages in, effects out."""
+"""The streams at a side process: handling of messages, dispatch of effects."""
 
 from collections.abc import Callable, Mapping, Sequence
 
@@ -26,15 +26,15 @@
 
 
 class StageStreams:
-    """Every stream that runs at this side process.
+    """The streams that are open at this side process.
 
     Args:
         instance: Name of this instance.
-        network: Where messages are sent.
-        scheduler: Where units are run.
+        network: Network that sends messages.
+        scheduler: Scheduler that runs items on the engine.
         clock: Source of time.
-        metrics: Where streams are counted.
-        journal_positions: Outputs kept per stream.
+        metrics: Registry that counts streams.
+        journal_positions: Maximum number of outputs retained per stream.
         sharing: Returns the weights of prompt and generated tokens.
     """
 
@@ -64,10 +64,10 @@
 
     @property
     def reserved_positions(self) -> int:
-        """Positions of all open streams together, those to come included.
+        """Number of positions of all open streams at their full length.
 
-        Bounds the memory of queues and journals when this stage is slow: no
-        stream can bring more than its `max_length`.
+        A limit on this number bounds the memory of queues and journals when
+        this stage is slow, because no stream exceeds its `max_length`.
         """
         return self._reserved_positions
 
@@ -76,8 +76,8 @@
 
         Args:
             open_message: The message.
-            refusal: A `StageFailure` for which a stream that is not yet
-                here is refused; empty to take it.
+            refusal: `StageFailure` with which a stream that is not open here
+                is refused; empty to accept it.
         """
         open_stage = self._streams.get(open_message.stream)
         if open_stage is not None and not has_same_layers(
@@ -88,7 +88,7 @@
         if open_stage is None:
             if refusal:
                 self._send_refusal(
-                    open_message, refusal, "takes no new streams"
+                    open_message, refusal, "instance accepts no new streams"
                 )
                 return
             open_stage = self._add_stage(open_message)
@@ -108,7 +108,7 @@
         self._apply(open_message.stream, open_stage, effects)
 
     def on_step(self, step: wire.Step) -> None:
-        """Takes hidden states from the previous stage."""
+        """Handles hidden states from the previous stage."""
         open_stage = self._streams.get(step.stream)
         if open_stage is not None:
             effects = open_stage.stream.on_states(
@@ -117,7 +117,7 @@
             self._apply(step.stream, open_stage, effects)
 
     def on_token(self, token: wire.Token) -> None:
-        """Takes a token from the last stage."""
+        """Handles a token from the last stage."""
         open_stage = self._streams.get(token.stream)
         if open_stage is not None:
             effects = open_stage.stream.on_token(
@@ -126,17 +126,18 @@
             self._apply(token.stream, open_stage, effects)
 
     def on_need(self, need: wire.Need) -> None:
-        """Sends states again for the next stage."""
+        """Sends states to the next stage again."""
         open_stage = self._streams.get(need.stream)
         if open_stage is not None:
             effects = open_stage.stream.on_need(need.attempt, need.position)
             self._apply(need.stream, open_stage, effects)
 
     def on_cancel(self, cancel: wire.Cancel) -> None:
-        """Ends a stream; an older attempt's cancel does nothing.
+        """Ends a stream, unless the cancel is for an older attempt.
 
-        Guards against a cancel that overtakes the open message: it is also
-        passed along the chain, behind the open on each connection.
+        The cancel is also forwarded along the chain. A cancel that a stage
+        receives from the entry may overtake the open message, but the
+        forwarded one follows it on the same connection.
         """
         open_stage = self._streams.get(cancel.stream)
         if open_stage is None or cancel.attempt < open_stage.stream.attempt:
@@ -146,7 +147,7 @@
             self._network.send(open_stage.next, cancel)
 
     def on_results(self, results: Sequence[EngineResult]) -> None:
-        """Takes what the engine answered."""
+        """Handles results of the engine."""
         for result in results:
             name = self._stream_by_session.get(result.session)
             if name is not None:
@@ -155,7 +156,10 @@
     def open_messages_of(
         self, sessions: Mapping[str, int]
     ) -> list[tuple[wire.OpenStream, int]]:
-        """Returns the open messages of sessions, with their positions."""
+        """Returns the open messages of sessions, with their positions.
+
+        Sessions of streams that are no longer open are omitted.
+        """
         return [
             (self._streams[name].open_message, position)
             for session, position in sessions.items()
@@ -163,19 +167,21 @@
         ]
 
     def on_engine_lost(self, message: str) -> None:
-        """Gives up every stream: the engine's caches are gone."""
+        """Fails every stream, because the caches of the engine are lost."""
         for name, open_stage in list(self._streams.items()):
             self._fail_stream(name, open_stage, message)
 
     def on_peer_lost(self, instance: str) -> None:
-        """Tells the entries that a stage is out of reach from here.
-
-        Guards against a link cut between two sides that the entry still
-        reaches: only this end notices, and the stream would stop for good.
-        A stream whose entry is lost has no caller left and is forgotten.
-        The stages behind are told too: a process that was frozen may, awake
-        again, have open_message an old attempt there before it learns that its
-        entry has given it up.
+        """Handles the loss of a peer that is an entry or a next stage.
+
+        If the connection between two side processes fails, the entry may still
+        reach both. Only this end detects the failure, so it reports the
+        unreachable stage to the entry. Otherwise the stream would stall.
+
+        A stream whose entry is lost has no caller any more and is removed,
+        here and at the following stages. A process that resumes after a freeze
+        may have opened an old attempt there before it detects that its entry
+        has abandoned it.
         """
         for name, open_stage in list(self._streams.items()):
             if open_stage.entry.instance == instance:
@@ -185,24 +191,26 @@
                 self._send_refusal(
                     open_stage.open_message,
                     StageFailure.PEER_UNREACHABLE,
-                    f"{instance} does not answer",
+                    f"{instance} is unreachable",
                     unreachable=instance,
                 )
 
     def request_reroute(self) -> None:
-        """Asks the entries to run every stream elsewhere.
+        """Requests the entries to run every stream on another instance.
 
-        The streams run on here until their entry ends them.
+        The streams continue here until their entry ends them.
         """
         for open_stage in self._streams.values():
             self._send_refusal(
-                open_stage.open_message, StageFailure.HANDED_ON, "leaving"
+                open_stage.open_message,
+                StageFailure.HANDED_ON,
+                "leaving",
             )
 
     def drop_expired(self) -> None:
-        """Forgets streams well past their deadline.
+        """Removes streams whose deadline passed some time ago.
 
-        Guards against streams whose entry died: nobody would cancel them.
+        A stream whose entry has failed is never cancelled.
         """
         now_ms = self._clock.now_ms()
         for name, open_stage in list(self._streams.items()):
@@ -358,7 +366,7 @@
     def _compute_cost(
         self, open_message: wire.OpenStream, effect: recovery.RunUnit
     ) -> float:
-        """Returns the weighted tokens of a unit."""
+        """Returns the cost of a unit in weighted tokens."""
         sharing = self._sharing()
         positions = len(effect.inputs)
         prompt = open_message.prompt_length - effect.position
