--- a/caroblug/side/tests/__init__.py
+++ b/caroblug/side/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the side process."""
+"""Tests of the side package."""
--- a/caroblug/side/tests/test_batch_scheduler.py
+++ b/caroblug/side/tests/test_batch_scheduler.py
@@ -1,4 +1,4 @@
-"""The scheduler: bounded batches, order inside a stream, chunks of prompts."""
+"""Tests of batch bounds, order within a stream, and chunked prompts."""
 
 import random
 
@@ -12,8 +12,8 @@
 _BATCH = 8
 
 
-class _Engine(EngineClient):
-    """An engine whose calls end when the test says so."""
+class _FakeEngine(EngineClient):
+    """An engine whose calls block until the test ends them."""
 
     def __init__(self):
         self.calls = []
@@ -37,7 +37,7 @@
 
 class _Bench:
     def __init__(self):
-        self.engine = _Engine()
+        self.engine = _FakeEngine()
         self.results = []
         self.scheduler = BatchScheduler(
             self.engine,
@@ -70,11 +70,12 @@
         return items
 
 
-def test_engine_never_holds_more_than_two_batches_and_order_is_kept():
-    """A slow engine's memory grows with every caller who waits.
+def test_engine_has_at_most_two_batches_and_order_is_preserved():
+    """Guards against the memory of a slow engine growing with its backlog.
 
-    Steps come faster than the engine runs them, long prompts among them; the
-    scheduler keeps them back, cuts them and sends a stream's parts in order.
+    Steps and long prompts arrive faster than the engine runs them. The
+    scheduler must hold them back, split them and preserve the order within a
+    stream.
     """
     rng = random.Random(7)
     bench = _Bench()
@@ -103,11 +104,11 @@
     assert done == wanted
 
 
-def test_long_prompt_does_not_hold_up_other_streams():
-    """A caller's next word waits for a stranger's whole prompt.
+def test_long_prompt_does_not_delay_other_streams():
+    """Guards against a token that waits for the whole prompt of another stream.
 
-    The prompt of 400 positions came first; without chunks it would be in the
-    engine alone for fifty batches.
+    The prompt of 400 positions is submitted first. Without chunks it would
+    occupy the engine for fifty batches.
     """
     bench = _Bench()
     bench.submit("long", 0, 400)
@@ -132,12 +133,12 @@
     assert {r.session for r in bench.results} == {"other"}
 
 
-def test_call_that_only_ends_sessions_lets_nobody_beside_a_suspect():
-    """A caller's request is refused as one that crashes engines, wrongly.
+def test_call_that_only_ends_sessions_does_not_end_isolation():
+    """Guards against innocent requests that are suspected of a crash.
 
-    A suspect runs alone; a call that only frees caches returns meanwhile and
-    counted as the suspect's own, so that others joined it in the engine and
-    were suspected of its next crash.
+    A call that only frees caches returned during the isolated run of a suspect
+    and was taken for the end of that run. Other items then joined the suspect
+    in the engine and were suspected of its next crash.
     """
     bench = _Bench()
     bench.submit("suspect", 0, 1, isolated=True)
@@ -154,11 +155,11 @@
     assert list(bench.scheduler.sessions_in_engine) == ["suspect"]
 
 
-def test_step_is_not_called_together_with_a_chunk():
-    """A caller's next word comes a whole batch late, though its step has run.
+def test_step_and_chunk_are_sent_in_separate_calls():
+    """Guards against a token that is delayed by a whole batch.
 
-    The engine left the chunk that went with it for its next batch, and a
-    call is answered when its last item has run.
+    An engine may defer a chunk to its next batch, and a call returns when its
+    last item has run. A step in the same call would wait for the chunk.
     """
     bench = _Bench()
     bench.submit("long", 0, 4)
--- a/caroblug/side/tests/test_batch_scheduler_fairness.py
+++ b/caroblug/side/tests/test_batch_scheduler_fairness.py
@@ -1,18 +1,18 @@
-"""The scheduler between accounts: overtaking, deadlines, suspects alone."""
+"""Tests of fairness between accounts, deadlines and isolated runs."""
 
 import collections
 
 import gevent
 
 from caroblug.side import BatchScheduler
-from caroblug.side.tests.test_batch_scheduler import _BATCH, _Engine
+from caroblug.side.tests.test_batch_scheduler import _BATCH, _FakeEngine
 from caroblug.transport import EngineItem
 from caroblug.utils import ManualClock, make_metrics
 
 
 class _Bench:
     def __init__(self, queue="fair"):
-        self.engine = _Engine()
+        self.engine = _FakeEngine()
         self.clock = ManualClock(1000)
         self.metrics = make_metrics()
         self.results = []
@@ -45,10 +45,11 @@
 
 
 def test_light_account_overtakes_what_a_heavy_one_has_in_the_engine():
-    """A light account's first token waits for a heavy one's two batches.
+    """Guards against a light account that waits for two batches of a heavy one.
 
-    The queue is fair, but the batches are in the engine already; the light
-    item goes in at once, in a call of its own, for the engine to run next.
+    The queue is fair, but these batches are already in the engine. The item of
+    the light account must be sent at once in a call of its own, with a
+    priority that lets the engine run it next.
     """
     bench = _Bench()
     for number in range(10 * _BATCH):
@@ -63,7 +64,7 @@
 
 
 def test_overtaking_is_bounded_over_many_accounts():
-    """An engine's memory grows with each account that has something."""
+    """Guards against an engine's memory growing with the number of accounts."""
     bench = _Bench()
     for number in range(2 * _BATCH):
         bench.submit("heavy", number)
@@ -74,7 +75,7 @@
     assert bench.engine.positions <= 4 * _BATCH
 
 
-def test_backlogged_accounts_get_equal_service_in_the_end():
+def test_backlogged_accounts_get_equal_service():
     bench = _Bench()
     for number in range(400):
         bench.submit("heavy", number)
@@ -87,8 +88,8 @@
     assert abs(served["heavy"] - served["light"]) <= 4 * _BATCH
 
 
-def test_item_past_its_deadline_costs_the_engine_nothing():
-    """Engines are busy with tokens for callers that have long gone."""
+def test_item_past_its_deadline_is_not_run():
+    """Guards against an engine that generates tokens for absent callers."""
     bench = _Bench()
     for number in range(2 * _BATCH):
         bench.submit("school-1", number)
@@ -102,7 +103,7 @@
 
 
 def test_suspect_is_alone_in_the_engine():
-    """Innocent streams go down with a request that crashes the engine."""
+    """Guards against streams that fail with one that crashes the engine."""
     bench = _Bench()
     bench.submit("school-1", 0)
     bench.settle()
--- a/caroblug/side/tests/test_journal.py
+++ b/caroblug/side/tests/test_journal.py
@@ -1,4 +1,4 @@
-"""The journal of calls over a log service that loses answers."""
+"""Tests of the call journal with an unreliable log service."""
 
 import gevent
 
@@ -17,20 +17,20 @@
 _TIMEOUT_S = 20
 
 
-class _Log(LogService):
-    """Records in memory; a read that waits is never answered."""
+class _FakeLog(LogService):
+    """A log in memory; a read with a wait blocks for the whole test."""
 
     def __init__(self):
         self.records = []
-        self.lose = False
+        self.lose_responses = False
         self.down = False
 
     def append(self, stream, data):
         if self.down:
             return LogUnavailable("down")
         self.records.append(data)
-        if self.lose:
-            return LogUnavailable("no answer", maybe_written=True)
+        if self.lose_responses:
+            return LogUnavailable("no response", maybe_written=True)
         return Appended(len(self.records) - 1)
 
     def read(self, stream, offset, limit=100, wait_ms=0):
@@ -46,7 +46,7 @@
         return RecordBatch(tuple(records), offset + len(records), end)
 
 
-def _make(log):
+def _start_journal(log):
     journal = make_journal(
         log,
         "booking",
@@ -70,36 +70,36 @@
     return admitted.id
 
 
-def _verdict(journal, intent):
+def _wait_verdict(journal, intent):
     with gevent.Timeout(_TIMEOUT_S):
         return journal.wait_verdict(intent)
 
 
-def test_append_whose_answer_is_lost_is_read_back():
-    """A booking is refused although the log holds its intent.
+def test_append_whose_response_is_lost_is_read_back():
+    """Guards against a call that is refused although its intent is on the log.
 
-    The answer to the append is lost after it took effect. The journal reads
-    the log before anything else, finds its batch, and appends nothing again.
+    The response to a successful append is lost. The journal must read the log
+    back, find its batch and not append it again.
     """
-    log = _Log()
-    journal = _make(log)
-    log.lose = True
-    assert _verdict(journal, _admit(journal, 1)) is Verdict.WON
+    log = _FakeLog()
+    journal = _start_journal(log)
+    log.lose_responses = True
+    assert _wait_verdict(journal, _admit(journal, 1)) is Verdict.WON
     assert len(log.records) == 1
 
 
-def test_append_that_fails_is_given_up_at_once():
-    log = _Log()
-    journal = _make(log)
+def test_intent_is_given_up_at_once_if_the_append_fails():
+    log = _FakeLog()
+    journal = _start_journal(log)
     log.down = True
-    assert _verdict(journal, _admit(journal, 1)) is Verdict.GIVEN_UP
+    assert _wait_verdict(journal, _admit(journal, 1)) is Verdict.GIVEN_UP
     assert not journal.ready
 
 
-def test_calls_at_once_share_an_append():
-    log = _Log()
-    journal = _make(log)
+def test_concurrent_calls_share_an_append():
+    log = _FakeLog()
+    journal = _start_journal(log)
     intents = [_admit(journal, number) for number in range(50)]
-    verdicts = {_verdict(journal, intent) for intent in intents}
+    verdicts = {_wait_verdict(journal, intent) for intent in intents}
     assert verdicts == {Verdict.WON}
     assert len(log.records) <= 2
--- a/caroblug/side/tests/test_streams.py
+++ b/caroblug/side/tests/test_streams.py
@@ -1,4 +1,4 @@
-"""Messages between the stages of a stream."""
+"""Tests of the messages between the stages of a stream."""
 
 from caroblug.core.recovery import ForwardOpen
 from caroblug.core.state import Sharing
@@ -7,8 +7,8 @@
 from caroblug.utils import ManualClock, make_metrics
 
 
-class _Network:
-    """Keeps what is sent, as (instance, message)."""
+class _FakeNetwork:
+    """Records sent messages as (instance, message)."""
 
     def __init__(self):
         self.sent = []
@@ -20,8 +20,8 @@
         pass
 
 
-class _Scheduler:
-    """Runs nothing and keeps the sessions that ended."""
+class _FakeScheduler:
+    """Runs nothing and records ended sessions."""
 
     def __init__(self):
         self.ended = []
@@ -34,7 +34,7 @@
 
 
 def _open_first():
-    network, scheduler = _Network(), _Scheduler()
+    network, scheduler = _FakeNetwork(), _FakeScheduler()
     streams = _streams.StageStreams(
         "side-0",
         network,
@@ -71,10 +71,10 @@
 
 
 def test_orphaned_stream_ends_along_the_chain():
-    """Engines go on for nobody after a frozen process woke up.
+    """Guards against engines that continue to run a stream without a caller.
 
-    It opens its old attempt at the next stage, and only then learns that
-    its entry has given it up.
+    A process that resumes after a freeze opens its old attempt at the next
+    stage, and only then detects that its entry has abandoned the stream.
     """
     streams, network, scheduler = _open_first()
     streams.on_peer_lost("entry-a")
@@ -83,7 +83,7 @@
     assert scheduler.ended == ["s.1"]
 
 
-def test_unreachable_next_stage_is_told_to_the_entry():
+def test_unreachable_next_stage_is_reported_to_the_entry():
     streams, network, _ = _open_first()
     streams.on_peer_lost("side-2")
     assert network.sent == []
@@ -95,11 +95,11 @@
     assert len(streams) == 1
 
 
-def test_cancel_of_a_replaced_stage_ends_it_alone():
-    """A stream stops for good after one of its stages was replaced.
+def test_cancel_of_a_replaced_stage_is_not_forwarded():
+    """Guards against a stream that stalls after one of its stages was replaced.
 
-    The replaced stage still knows the stage behind it, which lives on in
-    the newer attempt and must not be told to end.
+    The replaced stage still knows the next stage, which continues in the newer
+    attempt and must not receive the cancel.
     """
     streams, network, scheduler = _open_first()
     streams.on_cancel(wire.Cancel("s", 1, True))
@@ -107,21 +107,22 @@
     assert scheduler.ended == ["s.1"]
 
 
-def test_next_stage_hears_all_that_the_first_one_knows():
-    """Innocent requests are refused beside one that crashes engines.
+def test_open_message_is_forwarded_with_all_fields():
+    """Guards against a field that only the first stage receives.
 
-    A suspect is opened again to run alone; only its first stage was told, and
-    the later ones ran it in one batch with others, who went down with it.
+    A suspect was opened again for isolated runs, but only its first stage got
+    that field. Later stages ran the suspect in one batch with other requests,
+    which failed with it and were refused as suspects too.
     """
     values = {
         name: index for index, name in enumerate(wire.OpenStream.__slots__)
     }
-    opened = wire.OpenStream(**values)
+    open_message = wire.OpenStream(**values)
     forward = ForwardOpen(1001, 1002)
-    following = _open_stage.make_next_open(opened, forward)
-    assert following.stage == opened.stage + 1
-    assert following.tokens == []
+    next_message = _open_stage.make_next_open(open_message, forward)
+    assert next_message.stage == open_message.stage + 1
+    assert next_message.tokens == []
     values["known_length"] = forward.known_length
     values["sends_from"] = forward.sends_from
     for name in set(values) - {"stage", "tokens"}:
-        assert getattr(following, name) == values[name]
+        assert getattr(next_message, name) == values[name]
