--- a/caroblug/side/__init__.py
+++ b/caroblug/side/__init__.py
@@ -1,4 +1,4 @@
-"""The side process: a proxy through which one backend server is reached."""
+"""The side process: a proxy that is the only access to a backend server."""
 
 from caroblug.side._batch_scheduler import BatchScheduler
 from caroblug.side._server import serve
--- a/caroblug/side/_open_stage.py
+++ b/caroblug/side/_open_stage.py
@@ -25,7 +25,7 @@
 
 @attrs.define
 class OpenStage:
-    """A stream with its newest open message.
+    """A stream that is open at this stage.
 
     Attributes:
         stream: State of the stream at this stage.
--- a/caroblug/side/_streams.py
+++ b/caroblug/side/_streams.py
@@ -126,7 +126,7 @@
             self._apply(token.stream, open_stage, effects)
 
     def on_need(self, need: wire.Need) -> None:
-        """Sends states to the next stage again."""
+        """Handles a request of the next stage to send states again."""
         open_stage = self._streams.get(need.stream)
         if open_stage is not None:
             effects = open_stage.stream.on_need(need.attempt, need.position)
@@ -210,7 +210,7 @@
     def drop_expired(self) -> None:
         """Removes streams whose deadline passed some time ago.
 
-        A stream whose entry has failed is never cancelled.
+        A stream whose entry has failed is never cancelled and would stay open.
         """
         now_ms = self._clock.now_ms()
         for name, open_stage in list(self._streams.items()):
