--- a/caroblug/core/limits/__init__.py
+++ b/caroblug/core/limits/__init__.py
@@ -3,7 +3,7 @@
 Names are imported when they are first used: the gateway needs three of them.
 """
 
-from caroblug.lazy import make_lazy
+from caroblug.lazy import make_lazy_exports
 
 _MODULES = {
     "AccountRule": "_shares",
@@ -36,4 +36,4 @@
     "make_queue": "_fair_queue",
 }
 
-__getattr__, __dir__, __all__ = make_lazy(__name__, _MODULES)
+__getattr__, __dir__, __all__ = make_lazy_exports(__name__, _MODULES)
--- a/caroblug/entry/_admission.py
+++ b/caroblug/entry/_admission.py
@@ -13,7 +13,7 @@
 from caroblug.entry._shares import ShareClient
 from caroblug.entry._streams import StreamRequest
 from caroblug.entry._suspects import SuspectClient
-from caroblug.utils import Ran, RefusalType, Refused
+from caroblug.utils import ExecutionStatus, RefusalType, Refused
 
 _RETRY_AFTER_MS = 1000
 _RETRY_MINUTE_MS = 10_000
@@ -97,7 +97,9 @@
             request: The request.
             bundle: The bundle in force.
         """
-        quarantined = self._suspects.refusal(request.fingerprint, Ran.NO)
+        quarantined = self._suspects.refusal(
+            request.fingerprint, ExecutionStatus.NO
+        )
         if quarantined is not None:
             return quarantined
         overloaded = self._check_load(request, bundle)
--- a/caroblug/entry/_api.py
+++ b/caroblug/entry/_api.py
@@ -13,7 +13,7 @@
 from caroblug.entry._refusals import write_refusal
 from caroblug.entry._services import Services
 from caroblug.entry._streams import EntryStreams
-from caroblug.utils import Clock, Metrics, Ran, RefusalType, Refused
+from caroblug.utils import Clock, ExecutionStatus, Metrics, RefusalType, Refused
 
 _EXIT_BROKEN = 70
 
@@ -61,6 +61,8 @@
     if isinstance(error, AssertionError):
         os._exit(_EXIT_BROKEN)
     refused = Refused(
-        RefusalType.BACKEND_FAILED, "the request failed here", Ran.UNKNOWN
+        RefusalType.BACKEND_FAILED,
+        "the request failed here",
+        ExecutionStatus.UNKNOWN,
     )
     write_refusal(response, refused)
--- a/caroblug/entry/_chains.py
+++ b/caroblug/entry/_chains.py
@@ -14,7 +14,7 @@
 )
 from caroblug.entry._directory import Directory
 from caroblug.entry._stream_request import StreamRequest
-from caroblug.utils import Clock, Ran, RefusalType, Refused
+from caroblug.utils import Clock, ExecutionStatus, RefusalType, Refused
 
 _BROKEN_MS = 5000
 _CHOICES = 4
@@ -124,7 +124,7 @@
         return Refused(
             RefusalType.DEADLINE_EXCEEDED,
             "the deadline can't be met at the present load",
-            Ran.NO,
+            ExecutionStatus.NO,
             late.retry_after_ms,
         )
 
--- a/caroblug/entry/_completions.py
+++ b/caroblug/entry/_completions.py
@@ -25,7 +25,7 @@
 )
 from caroblug.entry._streams import EntryStreams, RunningStream
 from caroblug.entry._tokenizer import Tokenizer, make_tokenizer
-from caroblug.utils import CALLERS_OWN, Clock, Metrics, Refused
+from caroblug.utils import CALLER_ERRORS, Clock, Metrics, Refused
 
 _SSE_TYPE = "text/event-stream"
 _SSE_DONE = b"data: [DONE]\n\n"
@@ -153,8 +153,8 @@
             group=bundle.client_accounts[account].group,
             outcome=refused.type.value,
         )
-        if refused.type not in CALLERS_OWN:
-            self._metrics.count_bad(account)
+        if refused.type not in CALLER_ERRORS:
+            self._metrics.count_account_failure(account)
 
     def _refuse(
         self, response: falcon.Response, refused: Refused, group: str
--- a/caroblug/entry/_feed.py
+++ b/caroblug/entry/_feed.py
@@ -7,21 +7,21 @@
 from caroblug.entry._admission import Permit
 from caroblug.entry._streams import EntryStreams, RunningStream
 from caroblug.utils import (
-    CALLERS_OWN,
+    CALLER_ERRORS,
     Clock,
+    ExecutionStatus,
     Metrics,
-    Ran,
     RefusalType,
     Refused,
 )
 
 _MS_PER_S = 1000
-_NOT_BAD = {"answered", "cancelled", *CALLERS_OWN}
+_NOT_BAD = {"answered", "cancelled", *CALLER_ERRORS}
 _RETRY_AFTER_MS = 1000
 _DEADLINE = Refused(
     RefusalType.DEADLINE_EXCEEDED,
     "the answer took too long",
-    Ran.UNKNOWN,
+    ExecutionStatus.UNKNOWN,
     _RETRY_AFTER_MS,
 )
 
@@ -107,4 +107,6 @@
             outcome=outcome,
         )
         if outcome not in _NOT_BAD:
-            self._metrics.count_bad(self.stream.request.client_account)
+            self._metrics.count_account_failure(
+                self.stream.request.client_account
+            )
--- a/caroblug/entry/_plain.py
+++ b/caroblug/entry/_plain.py
@@ -12,7 +12,7 @@
 from caroblug.entry._directory import Directory, PlainView
 from caroblug.gen.wire import ttypes as wire
 from caroblug.transport import PeerNetwork
-from caroblug.utils import Clock, Metrics, Ran, RefusalType, Refused
+from caroblug.utils import Clock, ExecutionStatus, Metrics, RefusalType, Refused
 
 _CALL_BYTES = 8
 _RETRY_AFTER_MS = 1000
@@ -209,7 +209,7 @@
     return Refused(
         RefusalType(reply.reason),
         reply.message,
-        Ran(reply.ran),
+        ExecutionStatus(reply.ran),
         reply.retry_after_ms,
     )
 
@@ -218,7 +218,7 @@
     return Refused(
         RefusalType.OUTCOME_UNKNOWN,
         "no answer from the service",
-        Ran.UNKNOWN,
+        ExecutionStatus.UNKNOWN,
         _RETRY_AFTER_MS,
     )
 
@@ -233,7 +233,7 @@
         return True
     if call.key:
         return refused.type is RefusalType.LEAVING
-    return refused.ran is Ran.NO
+    return refused.ran is ExecutionStatus.NO
 
 
 def _rank(call: wire.PlainCall, view: PlainView) -> int:
--- a/caroblug/entry/_services.py
+++ b/caroblug/entry/_services.py
@@ -8,7 +8,7 @@
 from caroblug.entry._plain import PlainClient
 from caroblug.entry._refusals import write_refusal
 from caroblug.gen.wire import ttypes as wire
-from caroblug.utils import CALLERS_OWN, Clock, Metrics, RefusalType, Refused
+from caroblug.utils import CALLER_ERRORS, Clock, Metrics, RefusalType, Refused
 
 _RETRY_AFTER_MS = 1000
 _PASSED_HEADERS = ("content-type", "accept")
@@ -43,8 +43,8 @@
         if isinstance(outcome, Refused):
             kind = outcome.type.value
             write_refusal(response, outcome)
-            if outcome.type not in CALLERS_OWN:
-                self._metrics.count_bad(account)
+            if outcome.type not in CALLER_ERRORS:
+                self._metrics.count_account_failure(account)
         else:
             _write_reply(response, outcome)
         self._metrics.count("calls", service=name, group=group, outcome=kind)
--- a/caroblug/entry/_streams.py
+++ b/caroblug/entry/_streams.py
@@ -18,8 +18,8 @@
 from caroblug.transport import PeerAddress, PeerNetwork
 from caroblug.utils import (
     Clock,
+    ExecutionStatus,
     Metrics,
-    Ran,
     RefusalType,
     Refused,
     log_state,
@@ -30,7 +30,7 @@
 _UNREAD = Refused(
     RefusalType.LIMIT_REACHED,
     "the caller does not read its answer",
-    Ran.YES,
+    ExecutionStatus.YES,
     _RETRY_AFTER_MS,
 )
 
@@ -141,12 +141,14 @@
         return stream
 
     def _begin(self, request: StreamRequest) -> Chain | Refused:
-        quarantined = self._suspects.refusal(request.fingerprint, Ran.NO)
+        quarantined = self._suspects.refusal(
+            request.fingerprint, ExecutionStatus.NO
+        )
         if quarantined is not None:
             return quarantined
         chain = self._picker.pick(request, ())
         if chain is None:
-            return _no_chain(Ran.NO)
+            return _no_chain(ExecutionStatus.NO)
         return self._picker.refuse_late(chain, request) or chain
 
     def end(self, stream: RunningStream) -> None:
@@ -238,7 +240,7 @@
         if chain is None:
             chain = self._picker.pick(stream.request, stream.excluded)
         if chain is None:
-            self._give_up(stream, _no_chain(Ran.UNKNOWN))
+            self._give_up(stream, _no_chain(ExecutionStatus.UNKNOWN))
             return
         self._metrics.count("streams_recovered")
         self._open(stream, chain, fresh=fresh)
@@ -249,7 +251,7 @@
         The caller gets its final answer at once, with when to come back.
         """
         quarantined = self._suspects.refusal(
-            stream.request.fingerprint, Ran.UNKNOWN
+            stream.request.fingerprint, ExecutionStatus.UNKNOWN
         )
         if quarantined is not None:
             return quarantined
@@ -258,7 +260,7 @@
             return Refused(
                 RefusalType.BACKEND_FAILED,
                 f"{stream.failures} attempts failed",
-                Ran.UNKNOWN,
+                ExecutionStatus.UNKNOWN,
                 _RETRY_AFTER_MS,
             )
         wait_ms = self._policy.budget.take(
@@ -269,7 +271,7 @@
             return Refused(
                 RefusalType.OVERLOADED,
                 "the retry budget is used up",
-                Ran.UNKNOWN,
+                ExecutionStatus.UNKNOWN,
                 max(wait_ms, _RETRY_AFTER_MS),
             )
         return None
@@ -366,7 +368,7 @@
     return PeerAddress(stage.instance, stage.host, stage.port)
 
 
-def _no_chain(ran: Ran) -> Refused:
+def _no_chain(ran: ExecutionStatus) -> Refused:
     return Refused(
         RefusalType.NO_CAPACITY,
         "no chain of engines covers every layer",
--- a/caroblug/entry/_suspects.py
+++ b/caroblug/entry/_suspects.py
@@ -23,8 +23,8 @@
 )
 from caroblug.utils import (
     Clock,
+    ExecutionStatus,
     Metrics,
-    Ran,
     RefusalType,
     Refused,
     log_state,
@@ -86,7 +86,7 @@
         """Returns the position up to which a request is to run alone."""
         return self._known.isolate_until(fingerprint, self._clock.now_ms())
 
-    def refusal(self, fingerprint: str, ran: Ran) -> Refused | None:
+    def refusal(self, fingerprint: str, ran: ExecutionStatus) -> Refused | None:
         """Returns the refusal of a quarantined request, else None."""
         now_ms = self._clock.now_ms()
         if self._known.verdict(fingerprint, now_ms) is not Verdict.QUARANTINED:
@@ -113,7 +113,9 @@
             What to give to `leave`, or a refusal.
         """
         if self._gate.is_proved(fingerprint, self._clock.now_ms()):
-            return self.refusal(fingerprint, Ran.NO) or Ticket("", 0)
+            return self.refusal(fingerprint, ExecutionStatus.NO) or Ticket(
+                "", 0
+            )
         self._numbers += 1
         ticket = Ticket(self._homes.own, self._numbers)
         end_ms = self._clock.now_ms() + timeout_ms
@@ -123,7 +125,7 @@
         if not admitted:
             left_ms = end_ms - self._clock.now_ms()
             admitted = self._enter_here(fingerprint, ticket, left_ms)
-        refused = self.refusal(fingerprint, Ran.NO)
+        refused = self.refusal(fingerprint, ExecutionStatus.NO)
         if refused is None and not admitted:
             refused = Refused(
                 RefusalType.LIMIT_REACHED,
--- a/caroblug/gateway/_http_server.py
+++ b/caroblug/gateway/_http_server.py
@@ -309,7 +309,7 @@
 
     Uses the socket that was opened while the program was loading, if any.
     """
-    early_socket = listening.take(address)
+    early_socket = listening.take_listener(address)
     if early_socket is None:
         return server.StreamServer(address, serve, backlog=listening.BACKLOG)
     return server.StreamServer(
--- a/caroblug/gateway/tests/test_start.py
+++ b/caroblug/gateway/tests/test_start.py
@@ -23,7 +23,7 @@
 def test_caller_that_connected_before_the_server_started_is_answered():
     # Guards against refused connections while a gateway loads its modules.
     address = ("127.0.0.1", Ports().take())
-    listening.hold(address)
+    listening.open_listener(address)
     with socket.create_connection(address, timeout=5) as caller:
         caller.sendall(REQUEST)
         server = make_server(address)
@@ -41,7 +41,7 @@
     server = make_server(("127.0.0.1", 0))
     server.start()
 
-    assert listening.take(server.address) is None
+    assert listening.take_listener(server.address) is None
     assert server.address[1]
     server.stop_listening()
 
--- a/caroblug/lazy.py
+++ b/caroblug/lazy.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 
-def make_lazy(
+def make_lazy_exports(
     package: str, modules: dict[str, str]
 ) -> tuple[Callable[[str], Any], Callable[[], list[str]], list[str]]:
     """Returns what a package sets as `__getattr__`, `__dir__` and `__all__`.
--- a/caroblug/listening.py
+++ b/caroblug/listening.py
@@ -11,11 +11,11 @@
 BACKLOG = 1024
 """Connections that may wait to be accepted."""
 
-_held: dict[tuple[str, int], socket.socket] = {}
+_listeners: dict[tuple[str, int], socket.socket] = {}
 
 
-def hold(address: tuple[str, int]) -> None:
-    """Begins to listen at an address, for `take` to go on with.
+def open_listener(address: tuple[str, int]) -> None:
+    """Begins to listen at an address, for `take_listener` to go on with.
 
     Args:
         address: Host and port.
@@ -31,9 +31,9 @@
     except OSError:
         listener.close()
         raise
-    _held[address] = listener
+    _listeners[address] = listener
 
 
-def take(address: tuple[str, int]) -> socket.socket | None:
+def take_listener(address: tuple[str, int]) -> socket.socket | None:
     """Returns the socket that listens at an address, if one is held."""
-    return _held.pop(address, None)
+    return _listeners.pop(address, None)
--- a/caroblug/report/_burn.py
+++ b/caroblug/report/_burn.py
@@ -16,7 +16,7 @@
 from caroblug.core.state import Objective
 from caroblug.report._pages import Counts, Page, Series
 from caroblug.report._snapshots import Snapshot, difference
-from caroblug.utils import CALLERS_OWN
+from caroblug.utils import CALLER_ERRORS
 
 _US_PER_MS = 1000
 _PERIOD_S = 30 * 24 * 3600
@@ -27,7 +27,7 @@
     "call": "calls",
 }
 _ANSWERED = "answered"
-_NOT_COUNTED = {"cancelled", *(refusal.value for refusal in CALLERS_OWN)}
+_NOT_COUNTED = {"cancelled", *(refusal.value for refusal in CALLER_ERRORS)}
 
 
 @attrs.frozen
--- a/caroblug/report/tests/test_burn.py
+++ b/caroblug/report/tests/test_burn.py
@@ -106,7 +106,7 @@
             metrics.count(
                 "calls", service="booking", group="schools", outcome=name
             )
-    metrics.count_bad("school-7")
+    metrics.count_account_failure("school-7")
     snapshot = _snapshot(0, a=metrics)
     (burn,) = compute_burn([snapshot], [_OBJECTIVE])
     assert (burn.total, burn.bad) == (9, 3)
--- a/caroblug/side/_once.py
+++ b/caroblug/side/_once.py
@@ -29,7 +29,13 @@
 )
 from caroblug.side._settings import SideSettings
 from caroblug.transport import PeerNetwork, make_log_service
-from caroblug.utils import Clock, Metrics, Ran, RefusalType, log_state
+from caroblug.utils import (
+    Clock,
+    ExecutionStatus,
+    Metrics,
+    RefusalType,
+    log_state,
+)
 
 _RETRY_AFTER_MS = 1000
 _KEPT_BODY_BYTES = 16 * 1024
@@ -135,8 +141,8 @@
         self, call: wire.PlainCall, key: bytes, intent: IntentId
     ) -> wire.PlainReply:
         reply = self._direct.call_once(call, lambda: self._journal.begin(key))
-        ran = Ran(reply.ran)
-        if ran is Ran.NO:
+        ran = ExecutionStatus(reply.ran)
+        if ran is ExecutionStatus.NO:
             self._journal.cancel(key)
             return reply
         self._journal.finish(_make_outcome(key, intent, reply))
@@ -170,7 +176,7 @@
             call,
             RefusalType.LOG_UNAVAILABLE,
             "the call has run; its answer cannot be read back now",
-            Ran.YES,
+            ExecutionStatus.YES,
             _RETRY_AFTER_MS,
         )
 
@@ -180,7 +186,11 @@
         An owner that has never read the log to its end does not know whether
         an earlier sending of the key has run: it says so.
         """
-        ran = Ran.NO if self._journal.caught_up else Ran.UNKNOWN
+        ran = (
+            ExecutionStatus.NO
+            if self._journal.caught_up
+            else ExecutionStatus.UNKNOWN
+        )
         return refuse_call(
             call,
             RefusalType.LOG_UNAVAILABLE,
@@ -220,7 +230,7 @@
             f"the call has run; its answer of status {outcome.status} is"
             f" over {_KEPT_BODY_BYTES} bytes and was not kept;"
             f" its digest is {outcome.body_digest}",
-            Ran.YES,
+            ExecutionStatus.YES,
             retry_after_ms=0,
         )
     headers = [wire.Header(n, v) for n, v in (*outcome.headers, _REPLAYED)]
@@ -229,7 +239,7 @@
         status=outcome.status,
         headers=headers,
         body=outcome.body,
-        ran=Ran.YES,
+        ran=ExecutionStatus.YES,
     )
 
 
@@ -253,7 +263,7 @@
         call,
         RefusalType.KEY_CONFLICT,
         "the key was used with another request; this one did not run",
-        Ran.NO,
+        ExecutionStatus.NO,
         retry_after_ms=0,
     )
 
@@ -263,7 +273,7 @@
         call,
         RefusalType.OUTCOME_UNKNOWN,
         "a call with this key was begun, and how it ended is not known",
-        Ran.UNKNOWN,
+        ExecutionStatus.UNKNOWN,
         _RETRY_AFTER_MS,
     )
 
--- a/caroblug/side/_plain.py
+++ b/caroblug/side/_plain.py
@@ -15,7 +15,7 @@
     JsonHttp,
     request_once,
 )
-from caroblug.utils import Metrics, Ran, RefusalType
+from caroblug.utils import ExecutionStatus, Metrics, RefusalType
 
 _RETRY_AFTER_MS = 500
 _PATH_SAFE = "%/?:@!$&'()*+,;=~-._[]"
@@ -102,7 +102,7 @@
     call: wire.PlainCall, answer: HttpAnswer | HttpFailed
 ) -> wire.PlainReply:
     if isinstance(answer, HttpFailed):
-        ran = Ran.UNKNOWN if answer.sent else Ran.NO
+        ran = ExecutionStatus.UNKNOWN if answer.sent else ExecutionStatus.NO
         return refuse_call(
             call, RefusalType.BACKEND_FAILED, answer.message, ran
         )
@@ -116,7 +116,7 @@
         status=answer.status,
         headers=kept,
         body=answer.body,
-        ran=Ran.YES,
+        ran=ExecutionStatus.YES,
     )
 
 
@@ -124,7 +124,7 @@
     call: wire.PlainCall,
     reason: RefusalType,
     message: str,
-    ran: Ran,
+    ran: ExecutionStatus,
     retry_after_ms: int = _RETRY_AFTER_MS,
 ) -> wire.PlainReply:
     """Returns the refusal of a call."""
@@ -185,7 +185,10 @@
         """Takes a call from an entry."""
         if leaving:
             reply = refuse_call(
-                call, RefusalType.LEAVING, "instance is leaving", Ran.NO
+                call,
+                RefusalType.LEAVING,
+                "instance is leaving",
+                ExecutionStatus.NO,
             )
             self._network.send(peer, reply)
             return
--- a/caroblug/utils/__init__.py
+++ b/caroblug/utils/__init__.py
@@ -4,7 +4,7 @@
 libraries that a program which only needs the clock would pay for at its start.
 """
 
-from caroblug.lazy import make_lazy
+from caroblug.lazy import make_lazy_exports
 
 _MODULES = {
     "Clock": "_clock",
@@ -15,8 +15,8 @@
     "start_logging": "_logging",
     "Metrics": "_metrics",
     "make_metrics": "_metrics",
-    "CALLERS_OWN": "_outcomes",
-    "Ran": "_outcomes",
+    "CALLER_ERRORS": "_outcomes",
+    "ExecutionStatus": "_outcomes",
     "RefusalType": "_outcomes",
     "Refused": "_outcomes",
     "load_settings": "_settings",
@@ -34,4 +34,4 @@
     "text": "_validation",
 }
 
-__getattr__, __dir__, __all__ = make_lazy(__name__, _MODULES)
+__getattr__, __dir__, __all__ = make_lazy_exports(__name__, _MODULES)
--- a/caroblug/utils/_metrics.py
+++ b/caroblug/utils/_metrics.py
@@ -99,7 +99,7 @@
             latency = self._latencies[key] = _Latency()
         return latency.record_ms
 
-    def count_bad(self, client_account: str) -> None:
+    def count_account_failure(self, client_account: str) -> None:
         """Counts a request of an account that failed.
 
         Only the accounts with the most are kept: a counter for each of
--- a/caroblug/utils/_outcomes.py
+++ b/caroblug/utils/_outcomes.py
@@ -4,7 +4,7 @@
 import enum
 
 
-class Ran(enum.StrEnum):
+class ExecutionStatus(enum.StrEnum):
     """Whether the work behind a refused request has run."""
 
     NO = "no"
@@ -41,17 +41,17 @@
     Attributes:
         type: Kind of refusal.
         message: What happened, for the caller; holds no secret.
-        ran: `Ran.NO` only where it is proved that nothing ran.
+        ran: `ExecutionStatus.NO` only where it is proved that nothing ran.
         retry_after_ms: When to come back; 0 means never with this request.
     """
 
     type: RefusalType
     message: str
-    ran: Ran = Ran.NO
+    ran: ExecutionStatus = ExecutionStatus.NO
     retry_after_ms: int = 0
 
 
-CALLERS_OWN = frozenset(
+CALLER_ERRORS = frozenset(
     {
         RefusalType.BAD_REQUEST,
         RefusalType.UNAUTHENTICATED,
