--- a/caroblug/core/limits/__init__.py
+++ b/caroblug/core/limits/__init__.py
@@ -3,7 +3,7 @@
 Names are imported on first use: the gateway needs only three of them.
 """
 
-from caroblug.lazy import make_lazy
+from caroblug.lazy import make_lazy_exports
 
 _MODULES = {
     "AccountRule": "_shares",
@@ -36,4 +36,4 @@
     "make_queue": "_fair_queue",
 }
 
-__getattr__, __dir__, __all__ = make_lazy(__name__, _MODULES)
+__getattr__, __dir__, __all__ = make_lazy_exports(__name__, _MODULES)
--- a/caroblug/side/_at_most_once.py
+++ b/caroblug/side/_at_most_once.py
@@ -29,7 +29,13 @@
 )
 from caroblug.side._settings import SideSettings
 from caroblug.transport import PeerNetwork, make_log_service
-from caroblug.utils import Clock, Metrics, Ran, RefusalType, log_state
+from caroblug.utils import (
+    Clock,
+    ExecutionStatus,
+    Metrics,
+    RefusalType,
+    log_state,
+)
 
 _RETRY_AFTER_MS = 1000
 _MAX_STORED_BODY_BYTES = 16 * 1024
@@ -137,8 +143,8 @@
         reply = self._direct.call_at_most_once(
             call, lambda: self._journal.begin(key)
         )
-        ran = Ran(reply.ran)
-        if ran is Ran.NO:
+        ran = ExecutionStatus(reply.ran)
+        if ran is ExecutionStatus.NO:
             self._journal.cancel(key)
             return reply
         self._journal.finish(_make_outcome(key, intent, reply))
@@ -174,7 +180,7 @@
             call,
             RefusalType.LOG_UNAVAILABLE,
             "the call has run; its response cannot be read from the log now",
-            Ran.YES,
+            ExecutionStatus.YES,
             _RETRY_AFTER_MS,
         )
 
@@ -185,7 +191,11 @@
         does not know whether an earlier call with the same key has run, and
         then the refusal says so.
         """
-        ran = Ran.NO if self._journal.caught_up else Ran.UNKNOWN
+        ran = (
+            ExecutionStatus.NO
+            if self._journal.caught_up
+            else ExecutionStatus.UNKNOWN
+        )
         return refuse_call(
             call,
             RefusalType.LOG_UNAVAILABLE,
@@ -225,7 +235,7 @@
             f"the call has run; its response with status {outcome.status} is"
             f" over {_MAX_STORED_BODY_BYTES} bytes and was not stored;"
             f" the digest of its body is {outcome.body_digest}",
-            Ran.YES,
+            ExecutionStatus.YES,
             retry_after_ms=0,
         )
     headers = [
@@ -236,7 +246,7 @@
         status=outcome.status,
         headers=headers,
         body=outcome.body,
-        ran=Ran.YES,
+        ran=ExecutionStatus.YES,
     )
 
 
@@ -260,7 +270,7 @@
         call,
         RefusalType.KEY_CONFLICT,
         "the key was used for a different request; this one did not run",
-        Ran.NO,
+        ExecutionStatus.NO,
         retry_after_ms=0,
     )
 
@@ -270,7 +280,7 @@
         call,
         RefusalType.OUTCOME_UNKNOWN,
         "a call with this key has started; its outcome is unknown",
-        Ran.UNKNOWN,
+        ExecutionStatus.UNKNOWN,
         _RETRY_AFTER_MS,
     )
 
--- a/caroblug/side/_plain.py
+++ b/caroblug/side/_plain.py
@@ -15,7 +15,7 @@
     JsonHttpClient,
     request_once,
 )
-from caroblug.utils import Metrics, Ran, RefusalType
+from caroblug.utils import ExecutionStatus, Metrics, RefusalType
 
 _RETRY_AFTER_MS = 500
 _PATH_SAFE_CHARACTERS = "%/?:@!$&'()*+,;=~-._[]"
@@ -103,7 +103,7 @@
     call: wire.PlainCall, response: HttpResponse | HttpFailure
 ) -> wire.PlainReply:
     if isinstance(response, HttpFailure):
-        ran = Ran.UNKNOWN if response.sent else Ran.NO
+        ran = ExecutionStatus.UNKNOWN if response.sent else ExecutionStatus.NO
         return refuse_call(
             call, RefusalType.BACKEND_FAILED, response.message, ran
         )
@@ -117,7 +117,7 @@
         status=response.status,
         headers=headers,
         body=response.body,
-        ran=Ran.YES,
+        ran=ExecutionStatus.YES,
     )
 
 
@@ -125,7 +125,7 @@
     call: wire.PlainCall,
     reason: RefusalType,
     message: str,
-    ran: Ran,
+    ran: ExecutionStatus,
     retry_after_ms: int = _RETRY_AFTER_MS,
 ) -> wire.PlainReply:
     """Returns the refusal of a call."""
@@ -193,7 +193,10 @@
         """
         if leaving:
             reply = refuse_call(
-                call, RefusalType.LEAVING, "instance is draining", Ran.NO
+                call,
+                RefusalType.LEAVING,
+                "instance is draining",
+                ExecutionStatus.NO,
             )
             self._network.send(peer, reply)
             return
