--- a/caroblug/entry/_api.py
+++ b/caroblug/entry/_api.py
@@ -62,7 +62,7 @@
         os._exit(_EXIT_INVARIANT_BROKEN)
     refused = Refused(
         RefusalType.BACKEND_FAILED,
-        "internal error in the entry",
+        "the request failed here",
         ExecutionStatus.UNKNOWN,
     )
     write_refusal(response, refused)
