--- a/caroblug/core/limits/__init__.py
+++ b/caroblug/core/limits/__init__.py
@@ -1,9 +1,9 @@
-"""Shares, queues, admission, retry budgets and quarantine.
+"""Account shares, fair queues, load limits, retry budgets and quarantine.
 
-Names are imported when they are first used: the gateway needs three of them.
+Names are imported on first use: the gateway needs only three of them.
 """
 
-from caroblug.lazy import make_lazy
+from caroblug.lazy import make_lazy_exports
 
 _MODULES = {
     "AccountRule": "_shares",
@@ -36,4 +36,4 @@
     "make_queue": "_fair_queue",
 }
 
-__getattr__, __dir__, __all__ = make_lazy(__name__, _MODULES)
+__getattr__, __dir__, __all__ = make_lazy_exports(__name__, _MODULES)
--- a/caroblug/entry/_admission.py
+++ b/caroblug/entry/_admission.py
@@ -18,7 +18,7 @@
 from caroblug.entry._shares import ShareClient
 from caroblug.entry._streams import StreamRequest
 from caroblug.entry._wait_estimator import WaitEstimator
-from caroblug.utils import Ran, RefusalType, Refused
+from caroblug.utils import ExecutionStatus, RefusalType, Refused
 
 _RETRY_AFTER_MS = 1000
 _TOKENS_RETRY_AFTER_MS = 10_000
@@ -109,7 +109,9 @@
         Returns:
             A permit to be closed when the request ends, or a refusal.
         """
-        quarantined = self._quarantine.refusal(request.fingerprint, Ran.NO)
+        quarantined = self._quarantine.refusal(
+            request.fingerprint, ExecutionStatus.NO
+        )
         if quarantined is not None:
             return quarantined
         overloaded = self._check_load(request, bundle)
--- a/caroblug/entry/_chain_picker.py
+++ b/caroblug/entry/_chain_picker.py
@@ -14,7 +14,7 @@
 )
 from caroblug.entry._directory import SideDirectory
 from caroblug.entry._stream_request import StreamRequest
-from caroblug.utils import Clock, Ran, RefusalType, Refused
+from caroblug.utils import Clock, ExecutionStatus, RefusalType, Refused
 
 _BROKEN_LINK_RETRY_MS = 5000
 _MAX_CHOICES = 4
@@ -133,7 +133,7 @@
         return Refused(
             RefusalType.DEADLINE_EXCEEDED,
             "the deadline can't be met at the present load",
-            Ran.NO,
+            ExecutionStatus.NO,
             missed.retry_after_ms,
         )
 
--- a/caroblug/entry/_quarantine.py
+++ b/caroblug/entry/_quarantine.py
@@ -27,8 +27,8 @@
 )
 from caroblug.utils import (
     Clock,
+    ExecutionStatus,
     Metrics,
-    Ran,
     RefusalType,
     Refused,
     log_state,
@@ -93,7 +93,7 @@
         """Returns the position up to which a request must run in isolation."""
         return self._suspicions.isolate_until(fingerprint, self._clock.now_ms())
 
-    def refusal(self, fingerprint: str, ran: Ran) -> Refused | None:
+    def refusal(self, fingerprint: str, ran: ExecutionStatus) -> Refused | None:
         """Returns a refusal if a request is quarantined, else None.
 
         Args:
@@ -131,7 +131,9 @@
             A ticket to pass to `leave`, or a refusal.
         """
         if self._gate.is_proved(fingerprint, self._clock.now_ms()):
-            return self.refusal(fingerprint, Ran.NO) or Ticket("", 0)
+            return self.refusal(fingerprint, ExecutionStatus.NO) or Ticket(
+                "", 0
+            )
         self._last_number += 1
         ticket = Ticket(self._home_entries.own, self._last_number)
         end_ms = self._clock.now_ms() + timeout_ms
@@ -141,7 +143,7 @@
         if not admitted:
             left_ms = end_ms - self._clock.now_ms()
             admitted = self._enter_locally(fingerprint, ticket, left_ms)
-        refused = self.refusal(fingerprint, Ran.NO)
+        refused = self.refusal(fingerprint, ExecutionStatus.NO)
         if refused is None and not admitted:
             refused = Refused(
                 RefusalType.LIMIT_REACHED,
--- a/caroblug/entry/_stream_reader.py
+++ b/caroblug/entry/_stream_reader.py
@@ -7,21 +7,21 @@
 from caroblug.entry._admission import Permit
 from caroblug.entry._streams import EntryStreams, RunningStream
 from caroblug.utils import (
-    CALLERS_OWN,
+    CALLER_ERRORS,
     Clock,
+    ExecutionStatus,
     Metrics,
-    Ran,
     RefusalType,
     Refused,
 )
 
 _MS_PER_S = 1000
-_NOT_COUNTED_AS_BAD = {"answered", "cancelled", *CALLERS_OWN}
+_NOT_COUNTED_AS_BAD = {"answered", "cancelled", *CALLER_ERRORS}
 _RETRY_AFTER_MS = 1000
 _DEADLINE_EXCEEDED = Refused(
     RefusalType.DEADLINE_EXCEEDED,
     "the answer took too long",
-    Ran.UNKNOWN,
+    ExecutionStatus.UNKNOWN,
     _RETRY_AFTER_MS,
 )
 
@@ -123,4 +123,6 @@
             outcome=outcome,
         )
         if outcome not in _NOT_COUNTED_AS_BAD:
-            self._metrics.count_bad(self.stream.request.client_account)
+            self._metrics.count_account_failure(
+                self.stream.request.client_account
+            )
--- a/caroblug/side/_monitored_engine.py
+++ b/caroblug/side/_monitored_engine.py
@@ -1,4 +1,4 @@
-"""Tells a hung engine from a busy one."""
+"""Health check that distinguishes a hung engine from a busy one."""
 
 import collections
 from collections.abc import Sequence
@@ -12,25 +12,26 @@
 )
 from caroblug.utils import Clock
 
-_USUAL_DECAY = 0.95
+_MAX_BATCH_DECAY = 0.95
 _OVERDUE_FACTOR = 2.0
 _OVERDUE_SLACK_MS = 100
 
 
 class MonitoredEngine(EngineClient):
-    """Passes calls to an engine and notes when it last answered a batch.
+    """An engine client that detects a hung engine.
 
-    Guards against an engine that is frozen behind a side process which
-    lives: its connections stay open and no batch fails for a long time. It
-    is taken for hung when it does not say what it is in time, and either a
-    batch takes much longer than batches usually do or this is so twice
-    running; an engine that answers batches meanwhile is merely busy.
+    The connections of a frozen engine stay open, and its batches fail only
+    after a long timeout. Therefore the engine is also probed with a short
+    timeout. It is considered hung if a probe times out while a batch is
+    overdue, or if two probes in succession time out. An engine that completes
+    a batch during the probe is busy, not hung.
 
     Args:
-        engine: Runs batches; its timeout is long.
-        probe: Asks the same engine what it is; its timeout is short.
+        engine: Client that runs batches, with a long timeout.
+        probe: Client of the same engine for probes, with a short timeout.
         clock: Source of time.
-        probe_ms: Timeout of `probe`; what fails sooner is no timeout.
+        probe_ms: Timeout of `probe`. A probe that fails in less than half of
+            this time has not timed out.
     """
 
     def __init__(
@@ -44,69 +45,86 @@
         self._probe = probe
         self._clock = clock
         self._probe_ms = probe_ms
-        self._begun_ms: list[int] = []
-        self._in_engine: collections.Counter[str] = collections.Counter()
-        self._ended: list[str] = []
-        self._answered_ms = 0
-        self._usual_ms = 0.0
-        self._silent_probes = 0
-        self._known: EngineDescription | None = None
+        self._start_times_ms: list[int] = []
+        self._sessions_in_engine: collections.Counter[str] = (
+            collections.Counter()
+        )
+        self._pending_ends: list[str] = []
+        self._last_result_ms = 0
+        self._max_batch_ms = 0.0
+        self._failed_probes = 0
+        self._last_description: EngineDescription | None = None
 
     def run(
         self, items: Sequence[EngineItem], ended: Sequence[str]
     ) -> tuple[EngineResult, ...] | EngineFailure:
         """Runs a batch.
 
-        Guards against a cache that is never freed: a session that ends while
-        a batch of it is still in the engine would be made anew by that
-        batch. Its end is told with a later batch.
+        The end of a session is passed to the engine only when no batch of the
+        session is in the engine. Otherwise that batch would create the session
+        again, and its cache would never be freed.
+
+        Args:
+            items: Items to run; the positions of a session are in order.
+            ended: Sessions that have ended since the previous call.
+
+        Returns:
+            One result per item, or why the call failed.
         """
-        begun_ms = self._clock.now_ms()
-        told = self._tell_ended(ended)
+        start_ms = self._clock.now_ms()
+        reportable = self._take_reportable_ends(ended)
         sessions = [item.session for item in items]
-        self._begun_ms.append(begun_ms)
-        self._in_engine.update(sessions)
+        self._start_times_ms.append(start_ms)
+        self._sessions_in_engine.update(sessions)
         try:
-            outcome = self._engine.run(items, told)
+            outcome = self._engine.run(items, reportable)
         finally:
-            self._begun_ms.remove(begun_ms)
-            self._in_engine.subtract(sessions)
-            self._in_engine += collections.Counter()
+            self._start_times_ms.remove(start_ms)
+            self._sessions_in_engine.subtract(sessions)
+            self._sessions_in_engine += collections.Counter()
         if not isinstance(outcome, EngineFailure):
-            self._answered_ms = self._clock.now_ms()
-            took_ms = float(self._answered_ms - begun_ms)
-            self._usual_ms = max(took_ms, self._usual_ms * _USUAL_DECAY)
+            self._last_result_ms = self._clock.now_ms()
+            elapsed_ms = float(self._last_result_ms - start_ms)
+            self._max_batch_ms = max(
+                elapsed_ms, self._max_batch_ms * _MAX_BATCH_DECAY
+            )
         return outcome
 
-    def _tell_ended(self, ended: Sequence[str]) -> list[str]:
-        self._ended.extend(ended)
-        told = [s for s in self._ended if s not in self._in_engine]
-        self._ended = [s for s in self._ended if s in self._in_engine]
-        return told
+    def _take_reportable_ends(self, ended: Sequence[str]) -> list[str]:
+        self._pending_ends.extend(ended)
+        reportable = [
+            s for s in self._pending_ends if s not in self._sessions_in_engine
+        ]
+        self._pending_ends = [
+            s for s in self._pending_ends if s in self._sessions_in_engine
+        ]
+        return reportable
 
     def describe(self) -> EngineDescription | EngineFailure:
-        """Returns what the engine says of itself, or that it is lost.
+        """Probes the engine and returns its description.
 
-        An engine that only was too busy to answer is described as before.
+        Returns:
+            The last known description if the engine is only too busy to
+            respond; a failure if it is hung or lost.
         """
-        begun_ms = self._clock.now_ms()
+        start_ms = self._clock.now_ms()
         outcome = self._probe.describe()
         if not isinstance(outcome, EngineFailure):
-            self._silent_probes = 0
-            self._known = outcome
+            self._failed_probes = 0
+            self._last_description = outcome
             return outcome
-        self._silent_probes += 1
-        took_ms = self._clock.now_ms() - begun_ms
-        if self._known is None or took_ms < self._probe_ms // 2:
+        self._failed_probes += 1
+        elapsed_ms = self._clock.now_ms() - start_ms
+        if self._last_description is None or elapsed_ms < self._probe_ms // 2:
             return outcome
-        busy = self._answered_ms >= begun_ms
-        if busy or (self._silent_probes < 2 and not self._is_overdue()):
-            return self._known
-        self._known = None
+        busy = self._last_result_ms >= start_ms
+        if busy or (self._failed_probes < 2 and not self._is_overdue()):
+            return self._last_description
+        self._last_description = None
         return outcome
 
     def _is_overdue(self) -> bool:
-        if not self._begun_ms:
+        if not self._start_times_ms:
             return False
-        age_ms = self._clock.now_ms() - self._begun_ms[0]
-        return age_ms > _OVERDUE_FACTOR * self._usual_ms + _OVERDUE_SLACK_MS
+        age_ms = self._clock.now_ms() - self._start_times_ms[0]
+        return age_ms > _OVERDUE_FACTOR * self._max_batch_ms + _OVERDUE_SLACK_MS
--- a/caroblug/transport/_peers.py
+++ b/caroblug/transport/_peers.py
@@ -1,10 +1,10 @@
-"""Sessions between caroblug's own processes, over connections that may die.
+"""Network of sessions between instances, which survive lost connections.
 
-One session serves a pair of processes in both directions. A writer sends
-everything that waits for a peer in one frame, so that the cost of a frame is
-shared by all steps that wait. A connection that is reset or goes silent is
-replaced by a new one, on which what was not acknowledged is sent again; only
-a peer that does not answer on a new connection is lost.
+A session serves a pair of instances in both directions. All messages that are
+queued for a peer are sent in one frame, so that they share the cost of a
+frame. A connection that is reset or silent is replaced by a new one, on which
+unacknowledged frames are sent again. A peer is lost only if it does not
+respond on a new connection.
 """
 
 import collections
@@ -19,28 +19,28 @@
 from caroblug.transport._handler import PeerHandler
 from caroblug.transport._links import Link, PeerAddress
 from caroblug.transport._pause_detector import PauseDetector
-from caroblug.transport._sessions import FORGOTTEN, Session, SessionTiming
+from caroblug.transport._sessions import SESSION_UNKNOWN, Session, SessionTiming
 from caroblug.utils import Clock, Metrics, log_state
 
 _DIAL_TIMEOUT_MS = 1000
 _HANDSHAKE_TIMEOUT_S = 5.0
 _MAX_OUTBOX_MESSAGES = 100_000
 _TICK_MS = 50
-_PAUSE_MS = 150
+_SHORT_PAUSE_MS = 150
 _MS_PER_S = 1000
-_PAUSED = "this process was paused"
+_PAUSED_REASON = "this process was paused"
 
 
 class PeerNetwork:
-    """All sessions of one process.
+    """The sessions of one instance with its peers.
 
     Args:
-        hello: What this process says of itself; its nonce is not used.
-        shared_key: Key by which processes prove themselves.
-        handler: Takes what arrives.
+        hello: Template of this instance's hello; its nonce is not used.
+        shared_key: Key with which instances authenticate each other.
+        handler: Receives frames and session events.
         clock: Source of time.
-        metrics: Where frames and refused peers are counted.
-        timing: How soon a peer is asked whether it still lives.
+        metrics: Registry that counts frames, connections and lost peers.
+        timing: Heartbeat intervals and timeouts of the sessions.
     """
 
     def __init__(
@@ -59,22 +59,25 @@
         self._metrics = metrics
         self._timing = timing
         self._sessions: dict[str, Session] = {}
-        self._watched: collections.Counter[str] = collections.Counter()
+        self._in_flight: collections.Counter[str] = collections.Counter()
         self._server: server.StreamServer | None = None
         self._stopped = False
-        self._pauses = PauseDetector(
-            clock, _TICK_MS, _PAUSE_MS, timing.silence_ms + timing.probe_ms
+        self._pause_detector = PauseDetector(
+            clock,
+            _TICK_MS,
+            _SHORT_PAUSE_MS,
+            timing.silence_ms + timing.probe_ms,
         )
 
     @property
     def peers(self) -> tuple[PeerAddress, ...]:
-        """The peers connected now."""
+        """The peers that currently have a connection."""
         return tuple(
             s.current.peer for s in self._sessions.values() if s.current
         )
 
     def start(self, host: str, port: int) -> int:
-        """Listens for peers and returns the port."""
+        """Starts to listen for peers and returns the port."""
         self._server = server.StreamServer((host, port), self._accept)
         self._server.start()
         self._hello.host = self._hello.host or host
@@ -92,24 +95,28 @@
                 link.close()
 
     def is_connected(self, instance: str) -> bool:
-        """Tells whether there is a session with a peer."""
+        """Returns whether there is a session with a peer."""
         return instance in self._sessions
 
     def add_in_flight(self, instance: str, change: int = 1) -> None:
-        """Adds to the count of work in flight that needs a peer.
+        """Changes the count of work in flight that depends on a peer.
 
-        Heartbeats are frequent, and silence is noticed soon, only while the
-        count is above zero: idle connections must stay cheap.
+        Heartbeats are frequent and timeouts short only while the count is
+        above zero, so that idle connections stay cheap.
+
+        Args:
+            instance: Name of the peer.
+            change: Amount to add to the count; may be negative.
         """
-        self._watched[instance] += change
-        if self._watched[instance] <= 0:
-            del self._watched[instance]
+        self._in_flight[instance] += change
+        if self._in_flight[instance] <= 0:
+            del self._in_flight[instance]
 
     def send(self, to: PeerAddress, *messages: object) -> None:
-        """Queues messages for a peer, dialling it if need be.
+        """Queues messages for a peer and connects to it if necessary.
 
-        Nothing is raised: a peer that cannot be reached is told to the
-        handler by `on_peer_lost`.
+        A peer that cannot be reached raises no error here; it is reported by
+        `PeerHandler.on_peer_lost`.
         """
         session = self._sessions.get(to.instance)
         if session is None:
@@ -119,10 +126,10 @@
         self._queue(session, messages)
 
     def disconnect(self, instance: str) -> None:
-        """Ends the session with a peer that is not needed now."""
+        """Ends the session with a peer that is not needed any more."""
         session = self._sessions.get(instance)
         if session is not None:
-            self._lose(session, "not needed")
+            self._end_session(session, "not needed any more")
 
     def broadcast(self, role: str, *messages: object) -> None:
         """Queues messages for every connected peer of a role."""
@@ -133,7 +140,7 @@
     def _queue(self, session: Session, messages: tuple[object, ...]) -> None:
         session.queue(*messages)
         if len(session.outbox) > _MAX_OUTBOX_MESSAGES:
-            self._lose(session, "outbox full")
+            self._end_session(session, "outbox full")
 
     def _begin_dial(self, session: Session) -> None:
         if not session.dialling and not self._stopped:
@@ -141,17 +148,18 @@
             gevent.spawn(self._dial, session)
 
     def _dial(self, session: Session) -> None:
-        """Connects anew; a peer that does not answer in time is lost.
+        """Opens a new connection; a peer that does not respond is lost.
 
-        Guards against a frozen process, whose kernel still accepts: only an
-        answer of the process itself counts. A peer that acknowledged
-        something on the old connection meanwhile was merely slow.
+        The kernel of a frozen process still accepts connections, so that only
+        a completed handshake shows that the peer is alive. A peer that has
+        acknowledged frames on the old connection in the meantime is slow, not
+        lost.
         """
         before_ms = self._clock.now_ms()
         older = list(session.links)
         link = self._connect(session)
         session.dialling = False
-        if self._sessions.get(session.to.instance) is not session:
+        if self._sessions.get(session.peer.instance) is not session:
             if isinstance(link, Link):
                 link.close()
             return
@@ -159,72 +167,82 @@
             now_ms = self._clock.now_ms()
             waited_ms = session.delivery.waited_ms(now_ms)
             slow = waited_ms < now_ms - before_ms
-            if session.links and slow and link != FORGOTTEN:
+            if session.links and slow and link != SESSION_UNKNOWN:
                 return
-            self._lose(session, link)
+            self._end_session(session, link)
             return
         self._metrics.count("links_dialled")
         session.add_rtt((self._clock.now_ms() - before_ms) / 2)
-        self._add(session, link)
+        self._attach_link(session, link)
         for old in older:
-            self._drop(session, old, "replaced")
-        self._read(session, link)
+            self._drop_link(session, old, "replaced")
+        self._read_forever(session, link)
 
     def _connect(self, session: Session) -> Link | str:
-        """Returns a proved connection, or why there is none."""
+        """Returns an authenticated connection, or why there is none."""
         sock = None
         timeout = gevent.Timeout(
-            self._dial_ms(session) / _MS_PER_S, TimeoutError("no answer")
+            self._dial_timeout_ms(session) / _MS_PER_S,
+            TimeoutError("no response"),
         )
         try:
             with timeout:
                 sock = socket.create_connection(
-                    (session.to.host, session.to.port)
+                    (session.peer.host, session.peer.port)
                 )
-                link = _links.greet(
+                link = _links.handshake_as_dialler(
                     sock,
-                    session.hello_from(self._hello),
+                    session.make_hello(self._hello),
                     self._shared_key,
                     self._clock.now_ms(),
                 )
-                session.check(link)
-                _links.prove(link)
+                session.verify_link(link)
+                _links.send_proof(link)
                 return link
         except (OSError, framing.FrameError) as error:
             if sock is not None:
                 sock.close()
             return str(error)
 
-    def _dial_ms(self, session: Session) -> float:
+    def _dial_timeout_ms(self, session: Session) -> float:
         if not session.is_up:
             return _DIAL_TIMEOUT_MS
         return self._timing.probe_ms + 4 * session.rtt_ms
 
     def _accept(self, sock: socket.socket, address: object) -> None:
-        """Answers a connection, for the session it names or a new one.
+        """Accepts a connection for the named session or for a new one.
 
-        Guards against a process that was declared dead and wakes up: it
-        names a session that is no longer known here, or is told one that it
-        does not know, and each end then drops what belonged to the old one.
+        A process that was declared dead and resumes still belongs to the old
+        session. Either its hello names a session that is unknown here, or the
+        hello of this end names one that is unknown there. Each end then drops
+        the state of the old session.
         """
         del address
         known: Session | None = None
         session: Session | None = None
 
-        def _choose(theirs: wire.Hello) -> wire.Hello:
+        def _choose_session(peer_hello: wire.Hello) -> wire.Hello:
             nonlocal known, session
-            known = self._sessions.get(theirs.instance)
+            known = self._sessions.get(peer_hello.instance)
             session = known
-            if known is None or known.their_id not in ("", theirs.session):
-                to = PeerAddress(theirs.instance, theirs.host, theirs.port)
-                session = Session(to, theirs.session, self._clock.now_ms())
-            return session.hello_from(self._hello)
+            if known is None or known.peer_session_id not in (
+                "",
+                peer_hello.session,
+            ):
+                to = PeerAddress(
+                    peer_hello.instance, peer_hello.host, peer_hello.port
+                )
+                session = Session(to, peer_hello.session, self._clock.now_ms())
+            return session.make_hello(self._hello)
 
         timeout = gevent.Timeout(_HANDSHAKE_TIMEOUT_S, TimeoutError("slow"))
         try:
             with timeout:
-                link = _links.answer(
-                    sock, _choose, self._shared_key, self._clock.now_ms()
+                link = _links.handshake_as_acceptor(
+                    sock,
+                    _choose_session,
+                    self._shared_key,
+                    self._clock.now_ms(),
                 )
         except (OSError, framing.FrameError):
             self._metrics.count("peers_refused")
@@ -235,28 +253,28 @@
             return
         if session is not known:
             if known is not None:
-                self._lose(known, "peer has begun a new session")
+                self._end_session(known, "peer has started a new session")
             self._sessions[link.peer.instance] = session
-        self._add(session, link)
-        self._read(session, link)
+        self._attach_link(session, link)
+        self._read_forever(session, link)
 
-    def _add(self, session: Session, link: Link) -> None:
+    def _attach_link(self, session: Session, link: Link) -> None:
         first, session.is_up = not session.is_up, True
-        session.their_id = link.their_session
-        session.to = attrs.evolve(
-            session.to,
+        session.peer_session_id = link.peer_session
+        session.peer = attrs.evolve(
+            session.peer,
             role=link.peer.role,
             data_centre=link.peer.data_centre,
         )
         session.links.append(link)
         session.restart_wait(self._clock.now_ms())
         link.wake.set()
-        gevent.spawn(self._write, session, link)
+        gevent.spawn(self._write_forever, session, link)
         if first:
             self._handler.on_peer_up(link.peer)
 
-    def _read(self, session: Session, link: Link) -> None:
-        reason = "closed by peer"
+    def _read_forever(self, session: Session, link: Link) -> None:
+        reason = "connection closed by peer"
         try:
             while True:
                 payload = link.read()
@@ -268,12 +286,12 @@
             reason = str(error)
         except OSError as error:
             reason = str(error)
-        self._drop(session, link, reason)
+        self._drop_link(session, link, reason)
 
     def _on_payload(self, session: Session, link: Link, payload: bytes) -> None:
         now_ms = self._clock.now_ms()
-        if self._pauses.long:
-            raise framing.FrameError(_PAUSED)
+        if self._pause_detector.is_long_pause:
+            raise framing.FrameError(_PAUSED_REASON)
         frame = framing.decode(wire.Frame, payload)
         self._metrics.count("frames_received")
         link.received_ms = now_ms
@@ -282,16 +300,16 @@
         for due in session.on_frame(frame, now_ms):
             self._handler.on_frame(link.peer, due)
 
-    def _write(self, session: Session, link: Link) -> None:
+    def _write_forever(self, session: Session, link: Link) -> None:
         try:
             while not link.closed:
                 link.wake.wait()
                 link.wake.clear()
-                self._write_waiting(session, link)
+                self._write_pending(session, link)
         except OSError as error:
-            self._drop(session, link, f"send failed: {error}")
+            self._drop_link(session, link, f"send failed: {error}")
 
-    def _write_waiting(self, session: Session, link: Link) -> None:
+    def _write_pending(self, session: Session, link: Link) -> None:
         if link.resend:
             link.resend = False
             for payload in session.delivery.unacknowledged(
@@ -308,38 +326,49 @@
             self._metrics.count("frame_bytes_sent", len(payload))
 
     def _tick_forever(self) -> None:
-        self._pauses.tick()
+        self._pause_detector.tick()
         while True:
             gevent.sleep(_TICK_MS / _MS_PER_S)
             now_ms = self._clock.now_ms()
-            short, long = self._pauses.short, self._pauses.long
-            self._pauses.tick()
+            short, long = (
+                self._pause_detector.is_short_pause,
+                self._pause_detector.is_long_pause,
+            )
+            self._pause_detector.tick()
             for session in list(self._sessions.values()):
                 if short:
-                    self._after_pause(session, now_ms, long=long)
+                    self._resume_after_pause(session, now_ms, long=long)
                 elif session.links:
                     self._tick(session, now_ms)
 
-    def _after_pause(
+    def _resume_after_pause(
         self, session: Session, now_ms: int, *, long: bool
     ) -> None:
-        """Makes up for a pause of this process, short or long.
+        """Restarts the timeouts of a session after a pause of this process.
+
+        Otherwise a resumed process would suspect all its peers before it has
+        read the frames that they sent during the pause.
 
-        Guards against a process that, awake again, takes all its peers for
-        silent before it has read what they sent.
+        Args:
+            session: The session.
+            now_ms: Current time.
+            long: Whether the pause was so long that peers may have declared
+                this process lost; the connections are dropped then.
         """
         session.restart_wait(now_ms)
         if long:
             for link in list(session.links):
-                self._drop(session, link, _PAUSED)
+                self._drop_link(session, link, _PAUSED_REASON)
 
     def _tick(self, session: Session, now_ms: int) -> None:
         if session.delivery.over_limit:
-            self._lose(session, "too much unacknowledged")
+            self._end_session(
+                session, "unacknowledged or early frames exceed the limit"
+            )
             return
         suspected = session.tick(
             self._timing,
-            watched=session.to.instance in self._watched,
+            in_flight=session.peer.instance in self._in_flight,
             now_ms=now_ms,
         )
         if suspected and not session.dialling:
@@ -347,19 +376,19 @@
             self._begin_dial(session)
         for link in session.links[:-1]:
             if now_ms - link.received_ms > self._timing.idle_heartbeat_ms:
-                self._drop(session, link, "superseded")
+                self._drop_link(session, link, "superseded")
 
-    def _drop(self, session: Session, link: Link, reason: str) -> None:
-        """Ends a connection and goes on with another, or dials one."""
+    def _drop_link(self, session: Session, link: Link, reason: str) -> None:
+        """Closes a connection and continues on another or a new one."""
         link.close()
         if link not in session.links:
             return
         was_current = session.current is link
         session.links.remove(link)
-        if self._sessions.get(session.to.instance) is not session:
+        if self._sessions.get(session.peer.instance) is not session:
             return
         self._metrics.count("links_dropped")
-        log_state("peer.link", peer=session.to.instance, reason=reason)
+        log_state("peer.link", peer=session.peer.instance, reason=reason)
         if session.current is None:
             self._begin_dial(session)
             return
@@ -367,16 +396,16 @@
             session.current.resend = True
             session.current.wake.set()
 
-    def _lose(self, session: Session, reason: str) -> None:
-        if self._sessions.get(session.to.instance) is not session:
+    def _end_session(self, session: Session, reason: str) -> None:
+        if self._sessions.get(session.peer.instance) is not session:
             return
-        del self._sessions[session.to.instance]
+        del self._sessions[session.peer.instance]
         for link in session.links:
             link.close()
         session.links.clear()
-        log_state("peer.lost", peer=session.to.instance, reason=reason)
+        log_state("peer.lost", peer=session.peer.instance, reason=reason)
         self._metrics.count("peers_lost")
-        self._handler.on_peer_lost(session.to, reason)
+        self._handler.on_peer_lost(session.peer, reason)
 
 
 def make_peer_network(
@@ -387,7 +416,7 @@
     metrics: Metrics,
     timing: SessionTiming | None = None,
 ) -> PeerNetwork:
-    """Returns a network that is not yet listening."""
+    """Returns a network that does not listen yet."""
     return PeerNetwork(
         hello, shared_key, handler, clock, metrics, timing or SessionTiming()
     )
