--- a/caroblug/bundle/_commands.py
+++ b/caroblug/bundle/_commands.py
@@ -110,8 +110,8 @@
             )
         if held.parent != parent:
             return _print_error(
-                f"{out}: another version has won since it was made; "
-                "remove it and sign anew, or see `rebase`",
+                f"{out}: another version was accepted since it was made; "
+                "remove it and sign again, or use `rebase`",
                 FAILED,
             )
         record = held
@@ -124,7 +124,10 @@
 
 
 def rebase(options: argparse.Namespace) -> int:
-    """Merges a record's changes into the head and writes the result."""
+    """Merges a record's changes into the head and writes a bundle file.
+
+    In a conflict the value of the head is kept and the exit code is FAILED.
+    """
     log = _open_log(options)
     if log is None:
         return FAILED
@@ -236,8 +239,8 @@
     """Returns an unsigned child of the head.
 
     The record omits the sections that the head already has. If the log no
-    longer holds all sections of its newest bundle, the record contains all of
-    its own, so that every reader can apply it.
+    longer holds all sections of its newest bundle, the record contains every
+    section, so that all readers can apply it.
     """
     head = log.head
     known = head.bodies() if head and not log.lacks_sections else ()
--- a/caroblug/bundle/_fleet.py
+++ b/caroblug/bundle/_fleet.py
@@ -28,8 +28,8 @@
 
     Attributes:
         record: The instance's record in the platform's instance list.
-        answered: Whether it returned a valid status; if not, the other fields
-            have their defaults.
+        answered: Whether it returned its own valid status; if not, the other
+            fields have no meaning.
         version: Version of the bundle in force.
         in_force_ms: Time since that bundle came into force.
         ready: Whether it accepts new work.
@@ -121,7 +121,7 @@
 def withdraw(
     instances: InstanceList, name: str, wait_ms: int, clock: Clock
 ) -> Drained | StillRunning | NotListed | InstancesUnavailable:
-    """Withdraws an instance and waits until it has drained.
+    """Marks an instance as leaving and waits until it has drained.
 
     Args:
         instances: The platform's instance list.
--- a/caroblug/bundle/_log.py
+++ b/caroblug/bundle/_log.py
@@ -27,7 +27,7 @@
 
 @attrs.frozen
 class Accepted:
-    """The record was accepted as a head.
+    """The record became the head.
 
     Attributes:
         version: Version of the record.
@@ -69,7 +69,7 @@
 
     Args:
         log: The log service.
-        operators: Public keys of the operators whose signatures are valid.
+        operators: Public keys of the operators whose signatures count.
         signatures: Number of valid signatures that a record needs.
         clock: Source of time.
     """
@@ -169,7 +169,7 @@
     def _look_up(
         self, record: BundleRecord, maybe_written: bool
     ) -> Accepted | Superseded | Rejected | LogUnavailable | None:
-        """Reads new records and checks what happened to the given one.
+        """Reads new records and determines the outcome of the given one.
 
         Returns:
             The outcome, or the failure to read the log; None if the record
--- a/caroblug/bundle/_parser.py
+++ b/caroblug/bundle/_parser.py
@@ -60,7 +60,7 @@
 def make_parser() -> argparse.ArgumentParser:
     """Creates the parser; each command sets `run` to its function."""
     parser = argparse.ArgumentParser(
-        "caroblug-bundle", description="Makes and publishes signed bundles."
+        "caroblug-bundle", description="Creates, signs and publishes bundles."
     )
     parser.add_argument(
         "--version", action="version", version=caroblug.__version__
--- a/caroblug/node/_bundles.py
+++ b/caroblug/node/_bundles.py
@@ -129,10 +129,10 @@
         return self._clock.now_ms() - self._in_force_since_ms
 
     def wait_for_newest_head(self) -> Head | None:
-        """Returns the head, after waiting for a newer one that was advertised.
+        """Returns the head, waiting up to 200 ms for an advertised newer one.
 
-        Waits at most 200 ms. If no peer delivers the newer head by then, the
-        instance continues with the head it has.
+        If no peer delivers the newer head by then, the instance continues
+        with the head it has.
         """
         if self._dissemination.newer_head_known:
             self._up_to_date.wait(_MAX_HEAD_WAIT_MS / _MS_PER_S)
@@ -164,7 +164,7 @@
             self._send(peer, self._server.answer(fetch))
         for sections in frame.bundle_sections or ():
             self._handle_sections(peer, sections)
-        self._update_up_to_date()
+        self._refresh_up_to_date_event()
 
     def on_peer_up(self, peer: PeerAddress) -> None:
         """Sends the advert of the head to a new peer."""
@@ -183,7 +183,7 @@
         self._send_fetch(
             self._dissemination.on_peer_lost(peer.instance, now_ms)
         )
-        self._update_up_to_date()
+        self._refresh_up_to_date_event()
 
     def _wait_for_first_head(self) -> None:
         """Waits for a head from a peer, which saves reading the whole log."""
@@ -203,7 +203,7 @@
         """Reads the log once.
 
         Returns:
-            Whether the log service returned records.
+            Whether the log service responded.
         """
         wait_ms = _READ_WAIT_MS if self._dissemination.is_reader else 0
         records = self._log.read(
@@ -259,7 +259,7 @@
         )
         for peer in list(self._peers.values()):
             self._send(peer, advert)
-        self._update_up_to_date()
+        self._refresh_up_to_date_event()
         self._on_head(head)
 
     def _send_fetch(self, fetch: Fetch | None) -> None:
@@ -336,7 +336,7 @@
         self._metrics.count("bundle_messages", kind=kind)
         self._network.send(peer, message)
 
-    def _update_up_to_date(self) -> None:
+    def _refresh_up_to_date_event(self) -> None:
         if self._dissemination.newer_head_known:
             self._up_to_date.clear()
         else:
@@ -355,7 +355,7 @@
         self._tick_count += 1
         now_ms = self._clock.now_ms()
         self._send_fetch(self._dissemination.on_tick(now_ms))
-        self._update_up_to_date()
+        self._refresh_up_to_date_event()
         if self._tick_count % _VIEW_INTERVAL_TICKS == 0:
             self._dissemination.on_view(self._members.view)
             self._members.connect(list(self._dissemination.neighbours))
@@ -363,9 +363,9 @@
             self._send_heartbeats(now_ms)
 
     def _send_heartbeats(self, now_ms: int) -> None:
-        """Sends neighbours an advert, which states the age of its log view.
+        """Sends neighbours an advert with the age of this instance's log view.
 
-        Also requests sections that the log lacks from every peer again.
+        Also restarts the requests for sections that the log no longer holds.
         """
         advert = advert_to_wire(self._dissemination.advert(now_ms))
         for member in self._dissemination.neighbours:
--- a/caroblug/node/_exchange.py
+++ b/caroblug/node/_exchange.py
@@ -43,10 +43,13 @@
             self._hashes_by_digest.popitem(last=False)
 
     def answer(self, fetch: wire.BundleFetch) -> wire.BundleSections:
-        """Returns the head's record and the sections that the peer lacks.
+        """Returns the reply to a peer's fetch.
 
-        A reply is limited to 1 MiB of sections, but a single larger section
-        is sent whole. The peer fetches the rest by content hash.
+        A fetch of content hashes gets these sections. Any other fetch gets the
+        head's record and the sections that are not in the peer's base, if that
+        base is remembered. A reply is limited to 1 MiB of sections, but a
+        single larger section is sent whole. The peer fetches the rest by
+        content hash.
         """
         head = self._head
         if head is None:
--- a/caroblug/node/_lifetime.py
+++ b/caroblug/node/_lifetime.py
@@ -87,8 +87,9 @@
         Args:
             on_drain_start: Called once when the drain begins.
             busy: Returns whether work is still running.
-            on_late_drain: Called every second in the last half of the drain
-                time, at most its last 20 s, while work is still running.
+            on_late_drain: Called every second in the last 20 s of the drain
+                time, or in its last half if that is shorter, while work is
+                still running.
         """
         self._leaving.wait()
         on_drain_start()
@@ -157,7 +158,7 @@
     parser.add_argument(
         "--check-config",
         action="store_true",
-        help="check the settings, say what is wrong with them, and exit",
+        help="check the settings, print every problem, and exit",
     )
     parser.add_argument(
         "--version", action="version", version=caroblug.__version__
--- a/caroblug/node/_members.py
+++ b/caroblug/node/_members.py
@@ -55,7 +55,7 @@
 
     @property
     def own(self) -> Member:
-        """This instance."""
+        """The member that represents this instance."""
         return self._membership.own
 
     @property
--- a/caroblug/node/_snapshots.py
+++ b/caroblug/node/_snapshots.py
@@ -1,4 +1,4 @@
-"""Keeps a snapshot of the head in the log before its records expire."""
+"""Appends snapshots of the head to the log before its records expire."""
 
 import random
 
@@ -78,8 +78,8 @@
     def _track_snapshot(self) -> None:
         """Restarts the schedule when a new snapshot appears in the log.
 
-        A snapshot from before this instance reached the end of the log is
-        ignored, because its age, and so its expiry, is unknown.
+        A snapshot from before this instance reached the end of the log does
+        not restart it, because its age, and so its expiry, is unknown.
         """
         offset = self._bundles.fold.snapshot_offset
         if offset == self._newest_offset:
@@ -92,7 +92,8 @@
         """Checks that the newest snapshot is still in the log.
 
         It may be missing if the log dropped records too early or after an
-        outage longer than its retention. A new one is then due at once.
+        outage longer than its retention. A new one is then due after a short
+        jitter.
         """
         if self._newest_offset is None:
             return
