--- a/caroblug/node/tests/test_program.py
+++ b/caroblug/node/tests/test_program.py
@@ -61,7 +61,7 @@
     assert "thirty-two" not in output
 
 
-def test_every_mistake_is_named_with_its_place(tmp_path, capsys):
+def test_every_problem_is_reported_with_its_key(tmp_path, capsys):
     text = _VALID_SETTINGS.replace("7001", "70010").replace(
         "[log]", "colour=1\n[log]"
     )
