--- a/standins/_serve.py
+++ b/standins/_serve.py
@@ -9,7 +9,7 @@
 from falcon import media
 from gevent import pywsgi
 
-from caroblug.node import listen
+from caroblug.node import make_listener
 
 HOST = "127.0.0.1"
 
@@ -26,7 +26,7 @@
 def serve(app: falcon.App, port: int) -> None:
     """Serves until SIGTERM."""
     server = pywsgi.WSGIServer(
-        listen(HOST, port), app, log=None, error_log=None
+        make_listener(HOST, port), app, log=None, error_log=None
     )
     gevent.signal_handler(signal.SIGTERM, lambda: sys.exit(0))
     server.serve_forever()
