--- a/caroblug/core/routing/__init__.py
+++ b/caroblug/core/routing/__init__.py
@@ -1,4 +1,4 @@
-"""Choosing a chain of stages over engines that hold ranges of layers."""
+"""Routes streams through chains of engines that hold ranges of layers."""
 
 from caroblug.core.routing._baselines import (
     LeastLoadedChooser,
--- a/caroblug/core/routing/_baselines.py
+++ b/caroblug/core/routing/_baselines.py
@@ -1,4 +1,4 @@
-"""Choosers to compare with: random, round robin, least loaded."""
+"""Baseline chain choosers: random, round robin and least loaded."""
 
 import random
 from collections.abc import Collection, Iterable, Sequence
@@ -12,7 +12,7 @@
 
 @attrs.define
 class RandomChooser(ChainChooser):
-    """Takes any engine that holds the next layer.
+    """Picks each stage uniformly from the engines that hold the next layer.
 
     Attributes:
         rng: Source of randomness.
@@ -28,19 +28,21 @@
         excluded: Collection[str] = (),
         prompt: Sequence[int] = (),
     ) -> Chain | None:
-        """Returns a chain of engines taken at random."""
+        """Returns a chain of randomly chosen engines."""
         usable = usable_engines(engines, excluded)
-        return first_chain(usable, layers, self._shuffled)
+        return first_chain(usable, layers, self._shuffle)
 
-    def _shuffled(self, holders: Sequence[EngineView]) -> list[EngineView]:
+    def _shuffle(self, holders: Sequence[EngineView]) -> list[EngineView]:
         return self.rng.sample(holders, len(holders))
 
 
 @attrs.define
 class RoundRobinChooser(ChainChooser):
-    """Takes the engines that hold the next layer in turn."""
+    """Rotates through the engines that hold the next layer."""
 
-    _turns: dict[tuple[str, ...], int] = attrs.field(factory=dict, init=False)
+    _next_index: dict[tuple[str, ...], int] = attrs.field(
+        factory=dict, init=False
+    )
 
     def choose(
         self,
@@ -50,23 +52,26 @@
         excluded: Collection[str] = (),
         prompt: Sequence[int] = (),
     ) -> Chain | None:
-        """Returns a chain of the engines whose turn it is."""
+        """Returns a chain of the engines that are next in rotation."""
         usable = usable_engines(engines, excluded)
-        return first_chain(usable, layers, self._in_turn)
+        return first_chain(usable, layers, self._rotate)
 
-    def _in_turn(self, holders: Sequence[EngineView]) -> list[EngineView]:
+    def _rotate(self, holders: Sequence[EngineView]) -> list[EngineView]:
         key = tuple(engine.instance for engine in holders)
-        turn = self._turns.get(key, 0)
-        self._turns[key] = turn + 1
+        index = self._next_index.get(key, 0)
+        self._next_index[key] = index + 1
         if not holders:
             return []
-        start = turn % len(holders)
+        start = index % len(holders)
         return [*holders[start:], *holders[:start]]
 
 
 @attrs.define
 class LeastLoadedChooser(ChainChooser):
-    """Takes the engine with the least reported and own work, not weighted."""
+    """Picks the engine with the fewest open streams for each stage.
+
+    The engines' capacities are not taken into account.
+    """
 
     def choose(
         self,
@@ -78,8 +83,8 @@
     ) -> Chain | None:
         """Returns a chain of the least loaded engines."""
         usable = usable_engines(engines, excluded)
-        return first_chain(usable, layers, _by_load)
+        return first_chain(usable, layers, _sort_by_load)
 
 
-def _by_load(holders: Sequence[EngineView]) -> list[EngineView]:
+def _sort_by_load(holders: Sequence[EngineView]) -> list[EngineView]:
     return sorted(holders, key=lambda e: (e.load, e.instance))
--- a/caroblug/core/routing/_chooser_factory.py
+++ b/caroblug/core/routing/_chooser_factory.py
@@ -1,4 +1,4 @@
-"""Construction of choosers by the name in the settings."""
+"""Creates chain choosers by their name in the settings."""
 
 import random
 
@@ -17,12 +17,16 @@
 def make_chooser(
     name: str, rng: random.Random, latencies: LatencyTable | None = None
 ) -> ChainChooser:
-    """Returns the chooser with a name out of `CHOOSERS`.
+    """Returns a new chooser.
 
     Args:
-        name: Which chooser.
-        rng: Source of randomness for those that draw.
-        latencies: Latencies between data centres, learned elsewhere.
+        name: Name of the chooser, one of `CHOOSERS`.
+        rng: Source of randomness for randomized choosers.
+        latencies: Latencies between data centres, which the caller keeps up
+            to date.
+
+    Raises:
+        AssertionError: If there is no chooser of this name.
     """
     match name:
         case "flow":
@@ -36,4 +40,4 @@
         case "random":
             return RandomChooser(rng)
         case _:
-            raise AssertionError(f"no chooser {name!r}")
+            raise AssertionError(f"unknown chain chooser {name!r}")
--- a/caroblug/core/routing/_flow.py
+++ b/caroblug/core/routing/_flow.py
@@ -1,9 +1,10 @@
-"""The bound: maximum flow of tokens through the graph of layer ranges.
+"""Maximum flow of tokens through engines that hold ranges of layers.
 
-A node is a place in a token's way: a layer boundary in a data centre. Engines
-that hold the same layers in the same data centre are one edge, entered at any
-boundary inside their range and left at its end; a link is an edge between two
-data centres at the same boundary.
+The flow is an upper bound of the throughput of any routing. A node of the
+graph is a layer boundary in a data centre. Engines that hold the same layers
+in the same data centre form one edge, which starts at any boundary inside
+their range and leads to its end. A link is an edge between two data centres
+at the same boundary.
 
 References:
     Mei et al., "Helix: Serving Large Language Models over Heterogeneous GPUs
@@ -21,7 +22,7 @@
 _SINK = ("sink",)
 _UNITS_PER_TOKEN = 100
 _UNITS_PER_MS = 10
-_LOWEST_LINK_COST = 1
+_MIN_LINK_COST = 1
 
 
 @attrs.frozen(cache_hash=True)
@@ -29,7 +30,7 @@
     """Engines that hold the same layers in the same data centre.
 
     Attributes:
-        data_centre: Where they run.
+        data_centre: Data centre in which they run.
         first_layer: First layer they hold.
         end_layer: One past the last layer they hold.
     """
@@ -41,7 +42,12 @@
 
 @attrs.frozen(cache_hash=True)
 class FlowNode:
-    """A place in a token's way: layers below `layer` have run."""
+    """A position of a token in the flow graph.
+
+    Attributes:
+        layer: Layer boundary; the layers below it have run.
+        data_centre: Data centre that holds the token.
+    """
 
     layer: int
     data_centre: str
@@ -49,7 +55,7 @@
 
 @attrs.frozen
 class Link:
-    """A link from one data centre to another, in one direction.
+    """A one-way link between two data centres.
 
     Attributes:
         source: Data centre that sends.
@@ -66,13 +72,14 @@
 
 @attrs.frozen
 class FlowPlan:
-    """A maximum flow, as weights for a walk from place to place.
+    """A maximum flow, as weights of a random walk through the graph.
 
     Attributes:
-        tokens_per_s: The bound: no routing can run more positions.
-        starts: Flow by data centre in which the first stage runs.
-        groups: Flow by place and by the group that runs next.
-        links: Flow by place and by the data centre it moves to.
+        tokens_per_s: Value of the flow: an upper bound of the positions per
+            second that any routing can run.
+        starts: Flow by data centre of the first stage.
+        groups: Flow by node and by the engine group that runs next.
+        links: Flow by node and by the data centre that receives it.
     """
 
     tokens_per_s: float
@@ -81,18 +88,21 @@
     links: Mapping[FlowNode, Mapping[str, float]]
 
 
-def group_of(engine: EngineView) -> EngineGroup:
-    """Returns the group that an engine belongs to."""
+def get_group(engine: EngineView) -> EngineGroup:
+    """Returns the group of an engine."""
     return EngineGroup(engine.data_centre, engine.first_layer, engine.end_layer)
 
 
 def group_capacities(
     engines: Iterable[EngineView], layers: int
 ) -> dict[EngineGroup, float]:
-    """Returns the positions per second of each group."""
+    """Returns the capacity of each group in positions per second.
+
+    Groups whose range does not lie within the model are left out.
+    """
     capacities: dict[EngineGroup, float] = {}
     for engine in engines:
-        group = group_of(engine)
+        group = get_group(engine)
         if group.first_layer < group.end_layer <= layers:
             known = capacities.get(group, 0.0)
             capacities[group] = known + engine.tokens_per_s
@@ -104,18 +114,18 @@
     layers: int,
     links: Iterable[Link] = (),
 ) -> FlowPlan:
-    """Returns a maximum flow; among those, one with the least latency.
+    """Returns a maximum flow with the lowest latency among all of them.
 
-    Capacities are per position whatever part of its range an engine runs, as
-    with engines whose step costs hardly depend on the layers that are run.
-    A link's capacity holds at each layer boundary by itself, which can only
-    raise the bound.
+    A position uses the same share of an engine's capacity whatever part of
+    the engine's range it runs. This fits engines whose step time hardly
+    depends on the number of layers. The capacity of a link applies to each
+    layer boundary separately, which can only raise the bound.
 
     Args:
         engines: Engines of one model.
         layers: Number of layers of the model.
-        links: Links between data centres; data centres without one are not
-            connected.
+        links: Links between data centres; without a link, two data centres
+            are not connected.
     """
     capacities = group_capacities(engines, layers)
     graph = _make_graph(capacities, layers, links)
@@ -126,7 +136,7 @@
 def full_mesh(
     data_centres: Iterable[str], latency_ms: float = 0.0
 ) -> list[Link]:
-    """Returns unbounded links between each two data centres."""
+    """Returns links of unlimited capacity between all data centres."""
     names = sorted(set(data_centres))
     return [
         Link(source, target, latency_ms)
@@ -165,7 +175,7 @@
 
 
 def _add_link(graph: nx.DiGraph, link: Link, boundaries: Iterable[int]) -> None:
-    cost = max(_LOWEST_LINK_COST, int(link.latency_ms * _UNITS_PER_MS))
+    cost = max(_MIN_LINK_COST, int(link.latency_ms * _UNITS_PER_MS))
     bound = {}
     if link.tokens_per_s is not None:
         bound["capacity"] = int(link.tokens_per_s * _UNITS_PER_TOKEN)
--- a/caroblug/core/routing/_flow_chooser.py
+++ b/caroblug/core/routing/_flow_chooser.py
@@ -1,10 +1,10 @@
-"""Chains drawn from the maximum flow, put right by what is known of load.
+"""A chain chooser that samples the maximum flow and corrects for load.
 
 References:
     Mitzenmacher, "The Power of Two Choices in Randomized Load Balancing",
     2001.
     Wydrowski et al., "Load is not what you should balance: Introducing
-    Prequal", NSDI 2024: requests in flight as the signal.
+    Prequal", NSDI 2024: requests in flight as the load signal.
 """
 
 import math
@@ -18,24 +18,24 @@
 from caroblug.core.routing._estimate import (
     LatencyTable,
     position_ms,
-    round_ms,
+    token_round_ms,
 )
 from caroblug.core.routing._flow import (
     EngineGroup,
     FlowNode,
     FlowPlan,
     Link,
-    group_of,
+    get_group,
     make_plan,
 )
 from caroblug.core.routing._prefix import PrefixIndex, prefix_hashes
 from caroblug.core.routing._search import make_stage, usable_engines
 from caroblug.core.routing._types import Chain, EngineView
 
-_DRAWS = 4
-_TOKENS_AHEAD = 32
-_SPILL = 1.1
-_CHANGE_OF_LATENCY = 2.0
+_SAMPLED_CHAINS = 4
+_COST_HORIZON_TOKENS = 32
+_MAX_LOCAL_COST_RATIO = 1.1
+_LATENCY_STEP_FACTOR = 2.0
 
 _T = TypeVar("_T")
 _Members = Mapping[EngineGroup, Sequence[EngineView]]
@@ -45,13 +45,13 @@
 
 @attrs.frozen
 class _Plans:
-    """Plans for one set of engines and links.
+    """Flow plans for one set of engines and links.
 
     Attributes:
-        signature: What they were computed from.
+        signature: The inputs of the plans; equal signatures give equal plans.
         groups: Group of each instance.
-        local: Over the own data centre's engines only.
-        whole: Over every engine.
+        local: Flow through the engines of the entry's own data centre.
+        whole: Flow through all engines.
     """
 
     signature: _Signature
@@ -62,14 +62,14 @@
 
 @attrs.define
 class FlowChooser(ChainChooser):
-    """Draws chains by the flow's weights and takes the best of a few.
+    """Samples a few chains from the maximum flow and takes the cheapest.
 
-    The flow is computed anew only when the set of engines changes, or a
-    link's latency by a factor of two.
+    The flow is recomputed only when the set of engines changes or when the
+    latency of a link changes by about a factor of two.
 
     Attributes:
         rng: Source of randomness.
-        prefixes: What is known of the engines' prefix caches.
+        prefixes: Index of the engines' prefix caches.
         latencies: Latencies between data centres.
     """
 
@@ -91,48 +91,52 @@
         excluded: Collection[str] = (),
         prompt: Sequence[int] = (),
     ) -> Chain | None:
-        """Returns a chain near the flow; own data centre unless short."""
+        """Returns a chain that follows the flow, or None if there is none.
+
+        Chains inside the entry's own data centre are preferred while they
+        cost about as much as the others.
+        """
         usable = usable_engines(engines, ())
         if not usable:
             return None
-        plans = self._plans_for(usable, layers, data_centre)
+        plans = self._get_plans(usable, layers, data_centre)
         allowed = [e for e in usable if e.instance not in excluded]
         members: dict[EngineGroup, list[EngineView]] = {}
         for engine in allowed:
             group = plans.groups[engine.instance]
             members.setdefault(group, []).append(engine)
         hashes = prefix_hashes(prompt)
-        local = self._best(plans.local, members, layers, hashes)
-        whole = self._best(plans.whole, members, layers, hashes)
+        local = self._cheapest_chain(plans.local, members, layers, hashes)
+        whole = self._cheapest_chain(plans.whole, members, layers, hashes)
         best = self._prefer_local(local, whole, hashes)
         if best is None:
             return self._fallback.choose(allowed, layers, data_centre)
         return _make_chain(best, layers)
 
-    def _plans_for(
+    def _get_plans(
         self, usable: Sequence[EngineView], layers: int, data_centre: str
     ) -> _Plans:
         key = (usable[0].model, layers)
-        signature = self._signature(usable, data_centre)
+        signature = self._make_signature(usable, data_centre)
         known = self._plans.get(key)
         if known is not None and known.signature == signature:
             return known
         local = [e for e in usable if e.data_centre == data_centre]
-        links = self._links({e.data_centre for e in usable})
+        links = self._make_links({e.data_centre for e in usable})
         plans = _Plans(
             signature,
-            {e.instance: group_of(e) for e in usable},
+            {e.instance: get_group(e) for e in usable},
             make_plan(local, layers),
             make_plan(usable, layers, links),
         )
         self._plans[key] = plans
         return plans
 
-    def _signature(
+    def _make_signature(
         self, usable: Sequence[EngineView], data_centre: str
     ) -> _Signature:
         latencies = (
-            (pair, round(math.log(max(ms, 1.0), _CHANGE_OF_LATENCY)))
+            (pair, round(math.log(max(ms, 1.0), _LATENCY_STEP_FACTOR)))
             for pair, ms in sorted(self.latencies.measured_ms.items())
         )
         engines = (
@@ -141,7 +145,7 @@
         )
         return (data_centre, *latencies, *engines)
 
-    def _links(self, data_centres: Collection[str]) -> list[Link]:
+    def _make_links(self, data_centres: Collection[str]) -> list[Link]:
         return [
             Link(one, other, self.latencies.one_way_ms(one, other))
             for one in sorted(data_centres)
@@ -149,7 +153,7 @@
             if one != other
         ]
 
-    def _best(
+    def _cheapest_chain(
         self,
         plan: FlowPlan,
         members: _Members,
@@ -158,48 +162,55 @@
     ) -> list[EngineView] | None:
         if not plan.starts:
             return None
-        picks: list[_Pick] = [self._less_loaded] * _DRAWS
+        picks: list[_Pick] = [self._pick_less_loaded] * _SAMPLED_CHAINS
         if hashes:
-            picks.append(lambda engines: self._most_cached(engines, hashes))
-        drawn = (self._draw(plan, members, layers, pick) for pick in picks)
-        found = [engines for engines in drawn if engines is not None]
+            picks.append(
+                lambda engines: self._pick_most_cached(engines, hashes)
+            )
+        samples = (
+            self._sample_chain(plan, members, layers, pick) for pick in picks
+        )
+        found = [engines for engines in samples if engines is not None]
         if not found:
             return None
         return min(found, key=lambda engines: self._cost_ms(engines, hashes))
 
-    def _draw(
+    def _sample_chain(
         self, plan: FlowPlan, members: _Members, layers: int, pick: _Pick
     ) -> list[EngineView] | None:
-        """Walks from layer 0 to the end, each turn weighted by its flow."""
-        place = FlowNode(0, self._weighted(plan.starts))
+        """Returns a random walk from layer 0 to the end, weighted by the flow.
+
+        Returns None if the walk reaches a group without usable engines.
+        """
+        node = FlowNode(0, self._choose_weighted(plan.starts))
         engines: list[EngineView] = []
-        while place.layer < layers:
-            groups = plan.groups.get(place, {})
-            links = plan.links.get(place, {})
-            turn = self._weighted({**groups, **links})
-            if isinstance(turn, str):
-                place = FlowNode(place.layer, turn)
+        while node.layer < layers:
+            groups = plan.groups.get(node, {})
+            links = plan.links.get(node, {})
+            step = self._choose_weighted({**groups, **links})
+            if isinstance(step, str):
+                node = FlowNode(node.layer, step)
                 continue
-            candidates = members.get(turn)
+            candidates = members.get(step)
             if not candidates:
                 return None
             engines.append(pick(candidates))
-            place = FlowNode(turn.end_layer, turn.data_centre)
+            node = FlowNode(step.end_layer, step.data_centre)
         return engines
 
-    def _weighted(self, weights: Mapping[_T, float]) -> _T:
+    def _choose_weighted(self, weights: Mapping[_T, float]) -> _T:
         options = list(weights)
         if len(options) == 1:
             return options[0]
         return self.rng.choices(options, list(weights.values()))[0]
 
-    def _less_loaded(self, engines: Sequence[EngineView]) -> EngineView:
+    def _pick_less_loaded(self, engines: Sequence[EngineView]) -> EngineView:
         if len(engines) == 1:
             return engines[0]
         one, other = self.rng.sample(engines, 2)
-        return min(one, other, key=_wait_ms)
+        return min(one, other, key=_queueing_ms)
 
-    def _most_cached(
+    def _pick_most_cached(
         self, engines: Sequence[EngineView], hashes: Sequence[int]
     ) -> EngineView:
         return max(
@@ -213,32 +224,35 @@
         whole: list[EngineView] | None,
         hashes: Sequence[int],
     ) -> list[EngineView] | None:
-        """Leaves the own data centre only when that is clearly better."""
+        """Returns the local chain unless the other one is clearly cheaper."""
         if local is None or whole is None:
             return local or whole
-        here_ms = self._cost_ms(local, hashes)
-        there_ms = self._cost_ms(whole, hashes)
-        return local if here_ms <= there_ms * _SPILL else whole
+        local_ms = self._cost_ms(local, hashes)
+        whole_ms = self._cost_ms(whole, hashes)
+        return local if local_ms <= whole_ms * _MAX_LOCAL_COST_RATIO else whole
 
     def _cost_ms(
         self, engines: Sequence[EngineView], hashes: Sequence[int]
     ) -> float:
-        """Returns the cost of the next tokens, less what caches save.
+        """Returns the expected time of the next tokens, in ms.
 
-        A position is saved only if every stage has it cached, and the saving
-        is its prefill time; a longer wait than that outweighs it.
+        Positions of the prompt that every stage has cached reduce the cost
+        by their prefill time. A busy engine with a cached prefix is therefore
+        avoided once its queue takes longer than the prefill would.
         """
-        rounds_ms = _TOKENS_AHEAD * round_ms(engines, self.latencies)
+        horizon_ms = _COST_HORIZON_TOKENS * token_round_ms(
+            engines, self.latencies
+        )
         if not hashes:
-            return rounds_ms
+            return horizon_ms
         cached = min(
             self.prefixes.cached_positions(e.instance, hashes) for e in engines
         )
         saved_ms = cached * sum(position_ms(e) for e in engines)
-        return max(0.0, rounds_ms - saved_ms)
+        return max(0.0, horizon_ms - saved_ms)
 
 
-def _wait_ms(engine: EngineView) -> float:
+def _queueing_ms(engine: EngineView) -> float:
     return (1 + engine.queue) * position_ms(engine)
 
 
--- a/caroblug/core/routing/_prefix.py
+++ b/caroblug/core/routing/_prefix.py
@@ -1,4 +1,6 @@
-"""Which engines cache which prompt prefixes, from late and gappy events.
+"""An index of the engines' prefix caches, built from unreliable events.
+
+Events may be lost, late or duplicated.
 
 References:
     Qin et al., "Mooncake: A KVCache-centric Disaggregated Architecture for
@@ -12,17 +14,17 @@
 import xxhash
 
 BLOCK_TOKENS = 16
-_DEFAULT_BLOCKS = 4096
+_DEFAULT_MAX_BLOCKS = 4096
 _TOKEN_BYTES = 4
 
 
 @attrs.frozen
 class CacheEvent:
-    """What an engine has put into its prefix cache or dropped from it.
+    """A change of an engine's prefix cache.
 
     Attributes:
-        instance: The engine's side process.
-        sequence: Number of the event at this instance, from 1.
+        instance: Name of the engine's side process.
+        sequence: Sequence number of the event at this instance, from 1.
         stored: Hashes of blocks now cached.
         removed: Hashes of blocks no longer cached.
     """
@@ -35,6 +37,8 @@
 
 @attrs.define
 class _Cache:
+    """The known blocks of one instance, oldest first."""
+
     sequence: int = 0
     blocks: collections.OrderedDict[int, None] = attrs.field(
         factory=collections.OrderedDict
@@ -42,7 +46,10 @@
 
 
 def prefix_hashes(prompt: Sequence[int]) -> list[int]:
-    """Returns a hash for each whole block, chained over those before it."""
+    """Returns a hash for each whole block of a prompt.
+
+    A block's hash covers all blocks before it too.
+    """
     hashes = []
     state = xxhash.xxh3_64()
     for end in range(BLOCK_TOKENS, len(prompt) + 1, BLOCK_TOKENS):
@@ -53,22 +60,23 @@
 
 
 class PrefixIndex:
-    """What one entry believes of the engines' prefix caches.
+    """Estimates which prefixes each engine has cached.
 
     Args:
-        blocks: Blocks remembered for each instance, newest first.
+        max_blocks: Number of blocks retained for each instance; the least
+            recently stored ones are dropped first.
     """
 
-    def __init__(self, blocks: int = _DEFAULT_BLOCKS) -> None:
-        self.blocks = blocks
+    def __init__(self, max_blocks: int = _DEFAULT_MAX_BLOCKS) -> None:
+        self.max_blocks = max_blocks
         self._caches: dict[str, _Cache] = {}
 
     def on_event(self, event: CacheEvent) -> None:
-        """Takes an event.
+        """Applies an event.
 
-        Guards against lost events: after a gap a block may have been dropped
-        unheard, so everything known of the instance is forgotten; an event
-        that comes late or twice is passed over.
+        After a gap in the sequence numbers, the lost events may have removed
+        any block, so all blocks of the instance are dropped. An event that is
+        late or duplicated is ignored.
         """
         cache = self._caches.setdefault(event.instance, _Cache())
         if event.sequence <= cache.sequence:
@@ -81,11 +89,17 @@
             cache.blocks.pop(block, None)
 
     def remove_instance(self, instance: str) -> None:
-        """Drops what is known of an instance that is gone."""
+        """Removes all blocks of an instance that no longer exists."""
         self._caches.pop(instance, None)
 
     def cached_positions(self, instance: str, hashes: Iterable[int]) -> int:
-        """Returns how many leading positions an instance has cached."""
+        """Returns the number of leading prompt positions that are cached.
+
+        Args:
+            instance: Name of the engine's side process.
+            hashes: Block hashes of the prompt, as `prefix_hashes` returns
+                them.
+        """
         cache = self._caches.get(instance)
         if cache is None:
             return 0
@@ -100,5 +114,5 @@
         for block in stored:
             cache.blocks[block] = None
             cache.blocks.move_to_end(block)
-        while len(cache.blocks) > self.blocks:
+        while len(cache.blocks) > self.max_blocks:
             cache.blocks.popitem(last=False)
--- a/caroblug/core/routing/_report_interval.py
+++ b/caroblug/core/routing/_report_interval.py
@@ -1,4 +1,4 @@
-"""How often a side process may report its load, within a byte budget."""
+"""The interval of load reports within a bandwidth budget."""
 
 import math
 
@@ -8,17 +8,19 @@
 def report_interval_ms(
     entries: int, report_bytes: int, min_interval_ms: int, bytes_per_s: int
 ) -> int:
-    """Returns the time between two reports to the same entry.
+    """Returns the time between two load reports to the same entry, in ms.
 
-    At a small site the least time holds. Where many entries are connected
-    the time grows, so that reports never cost more than the budget: 66
-    entries at 100 bytes every 200 ms would be 33 KB/s.
+    With few entries the minimum applies. The interval grows with the number
+    of entries, so that the reports stay within the budget: 100 bytes to each
+    of 66 entries every 200 ms would be 33 KB/s.
 
     Args:
-        entries: Entries connected.
+        entries: Number of connected entries.
         report_bytes: Size of one report.
-        min_interval_ms: Time between reports where the budget allows it.
-        bytes_per_s: The budget.
+        min_interval_ms: Shortest interval, used where the budget allows it.
+        bytes_per_s: Budget for the reports to all entries.
     """
-    wanted_ms = math.ceil(entries * report_bytes * _MS_PER_S / bytes_per_s)
-    return max(min_interval_ms, wanted_ms)
+    budget_interval_ms = math.ceil(
+        entries * report_bytes * _MS_PER_S / bytes_per_s
+    )
+    return max(min_interval_ms, budget_interval_ms)
--- a/caroblug/core/routing/_search.py
+++ b/caroblug/core/routing/_search.py
@@ -1,4 +1,4 @@
-"""What every chooser needs: usable engines and a search over boundaries."""
+"""Helpers of the chain choosers: engine filters and a chain search."""
 
 from collections.abc import Callable, Collection, Iterable, Sequence
 
@@ -10,7 +10,7 @@
 def usable_engines(
     engines: Iterable[EngineView], excluded: Collection[str]
 ) -> list[EngineView]:
-    """Returns the engines that take new streams, by instance name."""
+    """Returns the engines that take new streams, sorted by instance name."""
     return sorted(
         (
             engine
@@ -22,17 +22,17 @@
 
 
 def covers_layers(engines: Iterable[EngineView], layers: int) -> bool:
-    """Tells whether engines that take new streams hold every layer."""
-    reached = 0
+    """Returns whether the engines that take new streams cover all layers."""
+    covered_end = 0
     usable = [engine for engine in engines if not engine.leaving]
     for engine in sorted(usable, key=lambda engine: engine.first_layer):
-        if engine.first_layer <= reached:
-            reached = max(reached, engine.end_layer)
-    return reached >= layers
+        if engine.first_layer <= covered_end:
+            covered_end = max(covered_end, engine.end_layer)
+    return covered_end >= layers
 
 
 def make_stage(engine: EngineView, layer: int, layers: int) -> Stage:
-    """Returns the stage in which an engine runs from `layer` to its end."""
+    """Returns an engine's stage from `layer` to the end of its range."""
     end = min(engine.end_layer, layers)
     return Stage(engine.instance, engine.host, engine.port, layer, end)
 
@@ -40,28 +40,28 @@
 def first_chain(
     engines: Sequence[EngineView], layers: int, order: Order
 ) -> Chain | None:
-    """Returns the first chain found by depth-first search.
+    """Returns the first chain that a depth-first search finds, or None.
 
     Args:
         engines: Engines that may be used.
         layers: Number of layers of the model.
-        order: Puts the engines that hold a layer in the order of trial.
+        order: Sorts the engines that hold a layer by preference.
     """
-    dead: set[int] = set()
+    dead_ends: set[int] = set()
 
-    def _from(layer: int) -> tuple[Stage, ...] | None:
+    def _search_from(layer: int) -> tuple[Stage, ...] | None:
         if layer >= layers:
             return ()
-        if layer in dead:
+        if layer in dead_ends:
             return None
         holders = [e for e in engines if e.first_layer <= layer < e.end_layer]
         for engine in order(holders):
             stage = make_stage(engine, layer, layers)
-            rest = _from(stage.end_layer)
+            rest = _search_from(stage.end_layer)
             if rest is not None:
                 return (stage, *rest)
-        dead.add(layer)
+        dead_ends.add(layer)
         return None
 
-    stages = _from(0)
+    stages = _search_from(0)
     return Chain(stages) if stages else None
--- a/caroblug/core/routing/_subset.py
+++ b/caroblug/core/routing/_subset.py
@@ -1,7 +1,8 @@
-"""Which engines one entry connects to, where it can't track them all.
+"""Selection of the engines that one entry connects to in a large fleet.
 
-Rendezvous hashing inside each group of engines: entries spread evenly over a
-group, and an engine that comes or goes changes only its own place.
+Each entry ranks the engines of a kind by rendezvous hashing. Entries spread
+evenly over the engines, and an engine that joins or leaves changes only the
+subsets that contain it.
 
 References:
     Thaler and Ravishankar, "Using Name-Based Mappings to Increase Hit Rates",
@@ -16,11 +17,11 @@
 
 @attrs.frozen
 class Kind:
-    """What an instance serves; those of one kind replace each other.
+    """What an instance serves; instances of one kind are interchangeable.
 
     Attributes:
-        target: Model or plain service.
-        data_centre: Where it runs.
+        target: Name of the model or plain service.
+        data_centre: Data centre in which it runs.
         first_layer: First layer it holds; 0 for a plain service.
         end_layer: One past the last layer; 0 for a plain service.
     """
@@ -32,7 +33,10 @@
 
 
 def rendezvous_rank(owner: str, instance: str) -> int:
-    """Returns an instance's rank for an owner; the lowest comes first."""
+    """Returns the rendezvous hash of an instance for an owner.
+
+    The owner prefers the instances with the lowest values.
+    """
     return xxhash.xxh3_64_intdigest(f"{owner}\0{instance}".encode())
 
 
@@ -41,15 +45,15 @@
 ) -> frozenset[str]:
     """Returns the instances that an entry connects to.
 
-    Each kind keeps its share of `size`, and one instance at least, so that
-    the subset covers every layer that the whole covers. Plain services are
-    kept whole: calls that may not be repeated go to an owner among all of
-    them.
+    Each kind gets its share of `size` and at least one instance, so that the
+    subset covers every layer that the whole fleet covers. All instances of
+    plain services are included, because calls that must not be retried go to
+    an owner that is chosen among all of them.
 
     Args:
         owner: Name of the entry.
-        kinds: Kind by instance.
-        size: Engines wanted; at least one of each kind is kept.
+        kinds: Kind by instance name.
+        size: Target number of engines.
     """
     members: dict[Kind, list[str]] = {}
     for instance, kind in kinds.items():
@@ -60,17 +64,25 @@
         wanted = len(instances)
         if kind.end_layer > 0 and engines > size:
             wanted = max(1, len(instances) * size // engines)
-        chosen.update(_lowest(owner, instances, wanted))
+        chosen.update(_take_lowest_ranked(owner, instances, wanted))
     return frozenset(chosen)
 
 
 def choose_instances_to_probe(
     owner: str, unknown: Iterable[str], count: int
 ) -> frozenset[str]:
-    """Returns the instances to ask next what they serve."""
-    return frozenset(_lowest(owner, unknown, count))
+    """Returns the instances to ask next for what they serve.
+
+    Args:
+        owner: Name of the entry.
+        unknown: Names of instances whose kind is not known yet.
+        count: Maximum number of instances.
+    """
+    return frozenset(_take_lowest_ranked(owner, unknown, count))
 
 
-def _lowest(owner: str, instances: Iterable[str], count: int) -> list[str]:
+def _take_lowest_ranked(
+    owner: str, instances: Iterable[str], count: int
+) -> list[str]:
     ranked = sorted(instances, key=lambda i: (rendezvous_rank(owner, i), i))
     return ranked[:count]
--- a/caroblug/core/routing/_types.py
+++ b/caroblug/core/routing/_types.py
@@ -1,4 +1,4 @@
-"""What routing knows of engines, and the chains it answers with."""
+"""Engines as routing sees them, and the chains that it returns."""
 
 import attrs
 
@@ -8,7 +8,7 @@
     """One stage of a chain.
 
     Attributes:
-        instance: Name of the side process that runs it.
+        instance: Name of the side process that runs the stage.
         host: IP address of the side process.
         port: Port for caroblug's own processes.
         first_layer: First layer to run.
@@ -27,7 +27,8 @@
     """Stages that together run every layer of a model once, in order.
 
     Attributes:
-        stages: At least one stage; each begins where the last one ended.
+        stages: At least one stage; each starts at the end of the previous
+            one.
     """
 
     stages: tuple[Stage, ...]
@@ -47,24 +48,25 @@
 
 @attrs.define
 class EngineView:
-    """What one entry knows of one engine, from the last load report.
+    """One entry's view of an engine, based on the last load report.
 
     Attributes:
         instance: Name of the engine's side process.
         host: IP address of the side process.
         port: Port for caroblug's own processes.
-        data_centre: Where it runs.
-        model: The model it serves.
-        first_layer: First layer it holds.
-        end_layer: One past the last layer it holds.
-        tokens_per_s: Its capacity over the layers it holds.
+        data_centre: Data centre in which the engine runs.
+        model: Name of the model that it serves.
+        first_layer: First layer that it holds.
+        end_layer: One past the last layer that it holds.
+        tokens_per_s: Its capacity over the layers that it holds.
         waiting: Steps waiting at the side process, as last reported.
         running: Steps in the engine, as last reported.
-        leaving: Whether it takes no new streams.
-        own_streams: Streams that this entry has open there.
-        streams: Streams open there, from every entry, as last reported.
+        leaving: Whether it is draining and takes no new streams.
+        own_streams: Number of streams that this entry has open there.
+        streams: Number of open streams of all entries, as last reported.
         backlog: Positions waiting or running there, as last reported.
-        own_streams_at_report: This entry's own streams when the report came.
+        own_streams_at_report: Value of `own_streams` when the report
+            arrived.
     """
 
     instance: str
@@ -85,23 +87,23 @@
 
     @property
     def load(self) -> int:
-        """Streams open there now: the last report, put right by own ones.
+        """Estimated number of open streams.
 
-        Guards against a herd: between two reports every request would see
-        the same least loaded engine and go there, so what this entry has
-        opened and closed since the report is added.
+        The last report is corrected by the streams that this entry has opened
+        and closed since. Without the correction, all requests between two
+        reports would go to the same least loaded engine.
         """
-        return max(self.own_streams, self.streams + self._since_report, 0)
+        return max(self.own_streams, self.streams + self._unreported_streams, 0)
 
     @property
     def queue(self) -> int:
-        """Positions that a new stream's position waits for.
+        """Estimated number of positions ahead of a new stream's position.
 
-        The last report's, put right like `load`: a stream opened since has
-        one position there sooner or later.
+        The last report is corrected as in `load`, by one position for each
+        stream, because each open stream will have a position there.
         """
-        return max(0, self.backlog + self._since_report)
+        return max(0, self.backlog + self._unreported_streams)
 
     @property
-    def _since_report(self) -> int:
+    def _unreported_streams(self) -> int:
         return self.own_streams - self.own_streams_at_report
--- a/caroblug/core/routing/tests/test_choosers.py
+++ b/caroblug/core/routing/tests/test_choosers.py
@@ -1,4 +1,4 @@
-"""Checks that every chooser must pass, and those of the flow chooser."""
+"""Tests of all chain choosers, the flow chooser and latency estimates."""
 
 import collections
 import random
@@ -27,7 +27,7 @@
 
 
 def _covered(views):
-    """Tells whether some chain covers every layer."""
+    """Returns whether some chain covers every layer."""
     reached = {0}
     for layer in range(LAYERS):
         if layer in reached:
@@ -39,12 +39,12 @@
     return LAYERS in reached
 
 
-def _two_rows(rate_b=100.0, **more):
+def _two_rows(rate_in_b=100.0, **more):
     return [
         make_view("a0", "a", 0, 6, 100.0, **more),
         make_view("a1", "a", 6, 12, 100.0),
-        make_view("b0", "b", 0, 6, rate_b),
-        make_view("b1", "b", 6, 12, rate_b),
+        make_view("b0", "b", 0, 6, rate_in_b),
+        make_view("b1", "b", 6, 12, rate_in_b),
     ]
 
 
@@ -86,10 +86,10 @@
 
 
 def test_flow_chooser_spreads_as_the_flow_does():
-    """Half of a fleet stays idle although callers wait.
+    """Guards against idle engines while requests queue at slow ones.
 
-    A slow accelerator's stage gets as many streams as a fast one's, its queue
-    grows, and every chain through it runs at its pace.
+    If a slow engine gets as many streams as a fast one, its queue grows and
+    limits every chain through it.
     """
     views = [
         make_view("fast", "a", 0, 6, 300.0),
@@ -106,7 +106,7 @@
     assert 250 <= opened["fast"] <= 350
 
 
-def test_own_data_centre_first_and_others_when_it_is_short():
+def test_local_data_centre_is_preferred_until_it_is_overloaded():
     chooser = FlowChooser(random.Random(3))
     views = _two_rows()
     for _ in range(20):
@@ -154,7 +154,7 @@
     assert taken == {("a0", "c1")}
 
 
-def test_cached_prefix_is_worth_a_wait_but_not_any_wait():
+def test_cached_prefix_outweighs_a_short_queue_but_not_a_long_one():
     prompt = tuple(range(64))
     prefixes = PrefixIndex()
     hashes = prefix_hashes(prompt)
@@ -172,13 +172,13 @@
         assert chain.instances != ("warm",)
 
 
-def test_gap_in_cache_events_forgets_the_instance():
-    """A caller waits at a busy engine whose cache was dropped long ago.
+def test_gap_in_cache_events_drops_the_blocks_of_the_instance():
+    """Guards against routing by a cached prefix that was evicted.
 
-    The event that told of the drop was lost; without the guard the entry
-    would send every such prompt there for ever.
+    If the event of the eviction is lost, the entry would otherwise send every
+    prompt with this prefix to the same engine indefinitely.
     """
-    index = PrefixIndex(blocks=8)
+    index = PrefixIndex(max_blocks=8)
     hashes = prefix_hashes(tuple(range(48)))
     index.on_event(CacheEvent("e", 1, tuple(hashes)))
     assert index.cached_positions("e", hashes) == 48
@@ -191,17 +191,17 @@
     assert index.cached_positions("e", hashes) == 0
 
 
-def test_deadline_that_cannot_be_met_is_told_with_when_to_come_back():
+def test_deadline_miss_reports_the_expected_time_and_a_retry_delay():
     table = LatencyTable()
     engine = make_view("e", "a", 0, 12, 100.0)
     assert check_deadline([engine], table, 10, 50, 1000) is None
     engine.streams, engine.backlog = 39, 100
-    late = check_deadline([engine], table, 10, 50, 5000)
-    assert late.expected_ms == pytest.approx(21_100)
-    assert late.retry_after_ms == 16_100
+    miss = check_deadline([engine], table, 10, 50, 5000)
+    assert miss.expected_ms == pytest.approx(21_100)
+    assert miss.retry_after_ms == 16_100
 
 
-def test_load_is_the_report_put_right_by_own_streams():
+def test_load_is_the_report_corrected_by_own_streams():
     view = make_view("e", "a", 0, 12, 100.0)
     view.streams, view.own_streams, view.own_streams_at_report = 30, 12, 10
     assert view.load == 32
@@ -213,7 +213,10 @@
 
 
 def test_layers_are_covered_only_without_a_gap():
-    """An entry that has just started refuses callers it could soon serve."""
+    """Guards against readiness while some layers have no usable engine.
+
+    An entry would reject requests that it can serve a moment later.
+    """
     engines = [
         EngineView(f"side-{n}", "h", 1, "a", "m", first, end, 100.0)
         for n, (first, end) in enumerate(((0, 8), (6, 16), (17, 24)))
--- a/caroblug/core/routing/tests/test_flow.py
+++ b/caroblug/core/routing/tests/test_flow.py
@@ -1,4 +1,4 @@
-"""The bound: never above a cut, and reached by a walk."""
+"""Tests of the maximum flow: cuts, conservation and links."""
 
 import attrs
 import pytest
@@ -17,7 +17,7 @@
 
 @st.composite
 def fleets(draw):
-    """Mixed engines: ranges overlap and differ, some layers may lack."""
+    """Generates engines with mixed ranges; some layers may be uncovered."""
     count = draw(st.integers(1, 12))
     views = []
     for number in range(count):
@@ -43,7 +43,7 @@
 
 
 @given(fleets())
-def test_flow_is_kept_at_every_place_and_within_capacity(views):
+def test_flow_is_conserved_at_every_node_and_within_capacity(views):
     plan = make_plan(views, LAYERS, full_mesh(PLACES))
     balance = {}
     used = {}
@@ -79,7 +79,7 @@
 
 
 @given(fleets(), st.floats(0.0, 500.0))
-def test_flow_over_narrow_links_is_between_none_and_free(views, rate):
+def test_flow_over_narrow_links_is_between_no_links_and_unlimited(views, rate):
     narrow = [
         attrs.evolve(link, tokens_per_s=rate) for link in full_mesh(PLACES)
     ]
--- a/caroblug/core/routing/tests/test_subset.py
+++ b/caroblug/core/routing/tests/test_subset.py
@@ -1,4 +1,4 @@
-"""Subsets still cover every layer, and share the engines evenly."""
+"""Tests of subsets: coverage of all layers and an even spread."""
 
 import collections
 
@@ -18,29 +18,29 @@
 
 
 @given(fleets(), st.integers(1, 6), st.text(max_size=4))
-def test_subset_covers_what_the_whole_covers(views, size, owner):
+def test_subset_covers_the_same_layers_as_the_fleet(views, size, owner):
     chosen = choose_subset(owner, _kinds(views), size)
     kept = [v for v in views if v.instance in chosen]
     assert _covered(kept) == _covered(views)
 
 
 @given(fleets(), st.integers(1, 6))
-def test_plain_services_are_kept_whole(views, size):
+def test_all_instances_of_plain_services_are_included(views, size):
     kinds = _kinds(views)
     plain = {f"p{n}": Kind("booking", "a") for n in range(3)}
     assert set(plain) <= choose_subset("entry", kinds | plain, size)
 
 
-def test_target_size_is_spread_evenly_and_change_is_small():
+def test_entries_spread_evenly_and_a_leaving_engine_changes_little():
     kinds = {
         f"e{n}": Kind("m", "abc"[n % 3], n % 8, n % 8 + 1) for n in range(780)
     }
-    heard = collections.Counter()
+    entries_by_engine = collections.Counter()
     for entry in range(40):
         chosen = choose_subset(f"entry-{entry}", kinds, 96)
         assert len(chosen) <= 96
-        heard.update(chosen)
-    assert max(heard.values()) <= 4 * 40 * 96 / 780
+        entries_by_engine.update(chosen)
+    assert max(entries_by_engine.values()) <= 4 * 40 * 96 / 780
     before = choose_subset("entry-0", kinds, 96)
     kinds.pop("e0")
     after = choose_subset("entry-0", kinds, 96)
