--- a/caroblug/core/state/__init__.py
+++ b/caroblug/core/state/__init__.py
@@ -1,4 +1,8 @@
-"""What operators decide and what must last, folded from the log."""
+"""Replicated state: configuration, call records, leases and membership.
+
+Configuration bundles, records of calls and leases are derived from a shared
+log by folding its records in offset order.
+"""
 
 from caroblug.core.state._bundle import (
     Bundle,
--- a/caroblug/core/state/_bundle.py
+++ b/caroblug/core/state/_bundle.py
@@ -1,4 +1,4 @@
-"""The bundle: everything that operators decide, as attrs classes."""
+"""The configuration bundle that operators publish, as attrs classes."""
 
 import tomllib
 from typing import Any
@@ -27,12 +27,12 @@
 
 @attrs.frozen
 class ModelRule:
-    """A model that callers may ask for.
+    """A model that callers may request.
 
     Attributes:
-        layers: Number of layers, over all stages.
-        vocabulary: Number of tokens.
-        body_bytes: Largest request body; 0 takes the one of `[limits]`.
+        layers: Number of layers over all stages.
+        vocabulary: Number of tokens in the vocabulary.
+        body_bytes: Largest request body; 0 means the value of `[limits]`.
     """
 
     layers: int = count(1, _MAX_LAYERS, "Layers over all stages.")
@@ -45,13 +45,12 @@
     """A plain service.
 
     Attributes:
-        idempotent_methods: HTTP methods that may be repeated; a call with
-            another method runs at most once.
-        timeout_ms: How long one call may take.
+        idempotent_methods: HTTP methods that may be retried; others run once.
+        timeout_ms: Time limit of one call.
         calls: Calls that one account may have open at one entry.
-        body_bytes: Largest request body; 0 takes the one of `[limits]`.
-        remember_ms: For how long an idempotency key is remembered; the log
-            service must keep its records for longer than this.
+        body_bytes: Largest request body; 0 means the value of `[limits]`.
+        remember_ms: Time for which an idempotency key is remembered; the log
+            service must retain its records for longer than this.
     """
 
     idempotent_methods: list[str] = attrs.field(
@@ -69,20 +68,20 @@
 
 @attrs.frozen
 class ClientAccount:
-    """A subscriber.
+    """A client account and its limits.
 
     Attributes:
-        group: Group under which it is counted in metrics.
-        key_hashes: Salted hashes of its keys, as `hash_key` makes them.
-        streams: Streams it may have open at once.
-        weight: Its share relative to other accounts.
-        tokens_per_minute: Weighted tokens it may use in a minute.
+        group: Label of the account in metrics.
+        key_hashes: Salted hashes of its keys, as `newkey` prints them.
+        streams: Streams that it may have open at once.
+        weight: Its fair share relative to other accounts.
+        tokens_per_minute: Weighted tokens that it may use in a minute.
     """
 
     key_hashes: list[str] = attrs.field()
-    group: str = name("Group under which it is counted.", "default")
+    group: str = name("Label of the account in metrics.", "default")
     streams: int = count(1, 100_000, "Streams open at once.", 64)
-    weight: float = number(0.01, 100.0, "Share relative to others.", 1.0)
+    weight: float = number(0.01, 100.0, "Fair share relative to others.", 1.0)
     tokens_per_minute: int = count(
         1, _MAX_TOKENS_PER_MINUTE, "Weighted tokens a minute.", 6_000_000
     )
@@ -90,15 +89,17 @@
 
 @attrs.frozen
 class Limits:
-    """Bounds for every caller.
+    """Limits for the requests of every caller.
 
     Attributes:
         body_bytes: Largest request body.
-        max_tokens: Most tokens generated for one request.
+        max_tokens: Largest number of tokens generated for one request.
         prompt_tokens: Longest prompt.
-        deadline_ms: How long one request may take.
-        queue_ms: Longest wait for a token that a new stream may meet.
-        unread_tokens: Tokens that may wait for a caller to read them.
+        deadline_ms: Time limit of one request.
+        queue_ms: Longest expected wait for a token at which a new stream is
+            still admitted.
+        unread_tokens: Largest number of tokens that a caller may leave
+            unread.
     """
 
     body_bytes: int = count(
@@ -108,12 +109,14 @@
     prompt_tokens: int = count(1, _MAX_TOKENS, "Longest prompt.", 16384)
     deadline_ms: int = duration_ms("How long a request may take.", 120_000)
     queue_ms: int = duration_ms("Longest wait for a token.", 500)
-    unread_tokens: int = count(1, _MAX_TOKENS, "Tokens not read.", 1024)
+    unread_tokens: int = count(
+        1, _MAX_TOKENS, "Tokens left unread by a caller.", 1024
+    )
 
 
 @attrs.frozen
 class Sharing:
-    """How service is measured for fair shares.
+    """The cost of tokens in the accounting of fair shares.
 
     Attributes:
         prompt_weight: Cost of a prompt token.
@@ -128,16 +131,16 @@
 
 @attrs.frozen
 class Quarantine:
-    """What happens to requests that crash backend servers.
+    """The quarantine of requests that crash backend servers.
 
     Attributes:
         expire_ms: Time after the last crash until it is forgotten.
-        retry_after_ms: When callers are told to come back; at most what is
-            left of the quarantine.
+        retry_after_ms: Delay after which callers may retry; at most the
+            remaining time of the quarantine.
     """
 
     expire_ms: int = duration_ms("Time until a crash is forgotten.", 600_000)
-    retry_after_ms: int = duration_ms("When to come back.", 600_000)
+    retry_after_ms: int = duration_ms("Retry delay for callers.", 600_000)
 
 
 @attrs.frozen
@@ -145,31 +148,32 @@
     """A service-level objective.
 
     Attributes:
-        measure: Latency that it bounds.
-        service: Model or plain service it is about.
-        within_ms: A request counts as good at or under this.
+        measure: Latency that the objective bounds.
+        service: Name of the model or plain service.
+        within_ms: Bound of the latency; a request at or under it is good.
         share: Share of requests that must be good.
     """
 
     measure: str = choice(
-        ("first_token", "between_tokens", "request", "call"), "Latency."
+        ("first_token", "between_tokens", "request", "call"),
+        "Latency that it bounds.",
     )
     service: str = name("Model or plain service.")
-    within_ms: int = duration_ms("Good at or under this.")
+    within_ms: int = duration_ms("Latency bound of a good request.")
     share: float = number(0.5, 0.99999, "Share that must be good.")
 
 
 @attrs.frozen
 class Placement:
-    """What one engine is to hold, as a whole state.
+    """The target state of one engine: its model and range of layers.
 
     Attributes:
-        model: The model.
-        version: Version of its weights; empty for the engine's own.
-        adapter: Adapter over the weights; empty for none.
-        first_layer: First layer it holds.
-        end_layer: One past the last layer it holds.
-        role: What it does of a stream.
+        model: Name of the model.
+        version: Version of the weights; empty for the engine's own.
+        adapter: Adapter on top of the weights; empty for none.
+        first_layer: First layer that the engine holds.
+        end_layer: One past the last layer that the engine holds.
+        role: Phase of a stream that the engine runs.
     """
 
     model: str = name("The model.")
@@ -177,7 +181,9 @@
     end_layer: int = count(1, _MAX_LAYERS, "One past the last layer.")
     version: str = text("Version of its weights.", "", low=0, high=64)
     adapter: str = text("Adapter over the weights.", "", low=0, high=64)
-    role: str = choice(("any", "prefill", "decode"), "Its part.", "any")
+    role: str = choice(
+        ("any", "prefill", "decode"), "Phase of a stream that it runs.", "any"
+    )
 
     def __attrs_post_init__(self) -> None:
         if self.end_layer <= self.first_layer:
@@ -186,7 +192,7 @@
 
 @attrs.frozen
 class Bundle:
-    """One whole configuration, as operators write it in TOML."""
+    """One complete configuration, as operators write it in TOML."""
 
     models: dict[str, ModelRule] = attrs.field(factory=dict)
     services: dict[str, ServiceRule] = attrs.field(factory=dict)
@@ -199,14 +205,14 @@
 
 
 def parse_bundle(toml: str, file: str = "bundle") -> Bundle | SettingsRejected:
-    """Parses a bundle.
+    """Parses and validates a bundle.
 
     Args:
-        toml: The bundle's text.
-        file: Name to give in messages.
+        toml: Text of the bundle.
+        file: File name for error messages.
 
     Returns:
-        The bundle, or every mistake found.
+        The bundle, or all problems that were found.
     """
     try:
         table: dict[str, Any] = tomllib.loads(toml)
--- a/caroblug/core/state/_calls.py
+++ b/caroblug/core/state/_calls.py
@@ -1,4 +1,4 @@
-"""Records of calls that may not be repeated, as they stand on the log."""
+"""Log records of calls that must not be retried, and their encoding."""
 
 import base64
 import enum
@@ -14,11 +14,11 @@
 
 @attrs.frozen
 class IntentId:
-    """Identity of an intent.
+    """The identity of an intent.
 
     Attributes:
-        writer: One life of one process; a restarted process is another.
-        number: Counts the writer's intents.
+        writer: Identity of one run of a process; a restart changes it.
+        number: Sequence number of the intent at this writer.
     """
 
     writer: str
@@ -26,7 +26,13 @@
 
 
 class OutcomeKind(enum.StrEnum):
-    """How an intent ended."""
+    """The outcome of an intent.
+
+    Attributes:
+        ANSWERED: The call was made and answered.
+        UNKNOWN: The call was made, but its effect is not known.
+        VOID: The call was not made and will not be made.
+    """
 
     ANSWERED = "answered"
     UNKNOWN = "unknown"
@@ -35,10 +41,10 @@
 
 @attrs.frozen
 class Intent:
-    """Says that a call is about to be made, if this is first for its key.
+    """The intent to make a call, valid if it is the first one for its key.
 
     Attributes:
-        id: Identity.
+        id: Identity of the intent.
         key: Digest of client account, service and idempotency key.
         request: Digest of the request.
     """
@@ -50,16 +56,17 @@
 
 @attrs.frozen
 class CallOutcome:
-    """Says how an intent ended.
+    """The recorded outcome of an intent.
 
     Attributes:
-        id: The intent.
-        key: Its key.
-        kind: `VOID` means that the call was not and will not be made.
-        status: HTTP status of the answer.
-        headers: Header names and values of the answer.
-        body: The answer's body; empty if it was too long to keep.
-        body_digest: Digest of a body that was too long to keep, else empty.
+        id: Identity of the intent.
+        key: Key of the intent.
+        kind: The outcome.
+        status: HTTP status of the response.
+        headers: Header names and values of the response.
+        body: Body of the response; empty if it was too long to record.
+        body_digest: Digest of a body that was too long to record, else
+            empty.
     """
 
     id: IntentId
@@ -73,13 +80,13 @@
 
 @attrs.frozen
 class CallBatch:
-    """What one writer appends at once.
+    """Intents and outcomes that one writer appends as one log record.
 
     Attributes:
-        writer: Who writes.
-        sequence: Counts the writer's batches, from 1.
-        horizon: Records before this offset are past the window, by the
-            writer's own clock since it read them.
+        writer: Identity of the writer.
+        sequence: Sequence number of the batch at this writer, from 1.
+        horizon: Records before this offset have left the window: the writer
+            has known them for the whole window by its own clock.
         entries: Intents and outcomes, in order.
     """
 
@@ -90,7 +97,11 @@
 
 
 def digest_parts(*parts: bytes) -> bytes:
-    """Returns a digest that no other list of parts has."""
+    """Returns a digest of a list of byte strings.
+
+    The parts are length-prefixed, so lists that differ only in how their
+    bytes are divided have different digests.
+    """
     hasher = hashlib.blake2b(digest_size=_DIGEST_BYTES)
     for part in parts:
         hasher.update(str(len(part)).encode() + _SEPARATOR + part)
@@ -110,7 +121,7 @@
 
 
 def decode_batch(data: bytes) -> CallBatch | None:
-    """Returns the batch, or None if these bytes are not one."""
+    """Returns the batch, or None if the data does not encode one."""
     try:
         body = orjson.loads(data)
         if body["kind"] != "calls":
--- a/caroblug/core/state/_head.py
+++ b/caroblug/core/state/_head.py
@@ -1,4 +1,4 @@
-"""The bundle in force, built from a record and its sections."""
+"""The bundle in force (the head), built from a record and its sections."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -19,13 +19,13 @@
     """The bundle in force.
 
     Attributes:
-        version: Its version, from 1.
-        digest: Its identity.
-        bundle: What operators decided.
-        sections: Its section bytes, by name.
-        offset: Where in the log its record was accepted.
-        record: Its record, without sections.
-        shards: Structured client accounts, by content hash of their section.
+        version: Version of the bundle, from 1.
+        digest: Digest that identifies the bundle.
+        bundle: The bundle itself.
+        sections: Section bytes by name.
+        offset: Log offset at which the record was accepted.
+        record: The record of the bundle, without its sections.
+        shards: Parsed client accounts, by content hash of their section.
     """
 
     version: int
@@ -52,38 +52,39 @@
     sections: dict[str, bytes],
     previous: Head | None,
 ) -> Head | str:
-    """Structures a record's bundle.
+    """Builds the head from a record and its sections.
 
-    Account sections that the previous head had too are taken over as they
-    are: at 18,000 accounts a change then costs one section, not all.
+    Account sections that the previous head contains too are reused without
+    parsing. With 18,000 accounts, a change then costs one section instead of
+    all of them.
 
     Args:
         record: The record.
-        offset: Where it was accepted.
-        sections: All of its section bytes, by name.
-        previous: The head before it.
+        offset: Log offset at which the record was accepted.
+        sections: Bytes of all sections, by name.
+        previous: The previous head, if any.
 
     Returns:
-        The head, or the first mistake in the bundle.
+        The head, or the first problem of the bundle as text.
     """
     table: dict[str, Any] = {}
     shards: dict[str, dict[str, ClientAccount]] = {}
-    known = previous.shards if previous else {}
+    reusable = previous.shards if previous else {}
     for name in sorted(sections):
         if not name.startswith(f"{ACCOUNTS}/"):
             table[name] = orjson.loads(sections[name])
             continue
         key = record.manifest[name]
-        shard = known.get(key)
+        shard = reusable.get(key)
         if shard is None:
-            shard = _structure_shard(sections[name])
+            shard = _parse_shard(sections[name])
         if isinstance(shard, str):
             return shard
         shards[key] = shard
     bundle = structure_table(table, Bundle, _FILE)
     if isinstance(bundle, SettingsRejected):
         return str(bundle.problems[0])
-    bundle = attrs.evolve(bundle, client_accounts=_merge(shards))
+    bundle = attrs.evolve(bundle, client_accounts=_merge_shards(shards))
     bare = attrs.evolve(record, sections={})
     return Head(
         record.version,
@@ -96,7 +97,7 @@
     )
 
 
-def _structure_shard(section: bytes) -> dict[str, ClientAccount] | str:
+def _parse_shard(section: bytes) -> dict[str, ClientAccount] | str:
     table = {ACCOUNTS: orjson.loads(section)}
     bundle = structure_table(table, Bundle, _FILE)
     if isinstance(bundle, SettingsRejected):
@@ -104,7 +105,7 @@
     return bundle.client_accounts
 
 
-def _merge(
+def _merge_shards(
     shards: Mapping[str, dict[str, ClientAccount]],
 ) -> dict[str, ClientAccount]:
     accounts: dict[str, ClientAccount] = {}
