--- a/caroblug/core/state/_bundle.py
+++ b/caroblug/core/state/_bundle.py
@@ -45,7 +45,7 @@
     """A plain service.
 
     Attributes:
-        idempotent_methods: HTTP methods that may be retried; others run once.
+        idempotent_methods: Retryable HTTP methods; others run at most once.
         timeout_ms: Time limit of one call.
         calls: Calls that one account may have open at one entry.
         body_bytes: Largest request body; 0 means the value of `[limits]`.
--- a/caroblug/core/state/_fold.py
+++ b/caroblug/core/state/_fold.py
@@ -1,11 +1,12 @@
-"""The head of the bundles: a fold of the log in offset order.
-
-Heads are ordered by version, then by the earlier offset at which the log
-took them. A reader that has seen every record since its head knows this
-order first-hand and follows the chain of parents. A reader whose history is
-truncated collects what is left up to the log's end and takes the highest;
-snapshots carry the offset of acceptance, so that a record that lost its race
-stays behind the winner also where the winner's own record has expired.
+"""Determines the bundle in force (the head) from the log's records.
+
+Heads are ordered by version; of two records with the same version, the one
+with the lower log offset wins. A reader that has seen every record since its
+head knows this order and follows the chain of parents. A reader whose history
+is truncated collects the remaining records up to the end of the log and
+takes the highest. Snapshots carry the offset at which their record was
+accepted, so that a record that lost a race ranks below the winner even after
+the winner's own record has expired.
 """
 
 from collections.abc import Collection, Iterable, Mapping
@@ -26,8 +27,8 @@
     """A record of the log.
 
     Attributes:
-        offset: Its offset.
-        data: Its bytes.
+        offset: Offset of the record.
+        data: Bytes of the record.
     """
 
     offset: int
@@ -36,17 +37,19 @@
 
 @attrs.frozen
 class Applied:
-    """The record became the head."""
+    """The outcome for a record that became the head."""
 
     head: Head
 
 
 @attrs.frozen
 class Lost:
-    """The record's parent was not the head: another one won.
+    """The outcome for a record whose parent was not the head.
+
+    Another child of the same parent won, or the parent itself had lost.
 
     Attributes:
-        digest: The losing record.
+        digest: Digest of the losing record.
         winner_version: Version of the head.
         winner_digest: Digest of the head.
     """
@@ -58,21 +61,27 @@
 
 @attrs.frozen
 class Ignored:
-    """The record is the head again, or older."""
+    """The outcome for a record that repeats the head or is older."""
 
 
 @attrs.frozen
 class Deferred:
-    """History is truncated: the record is judged at the log's end."""
+    """The outcome for a record that is decided at the end of the log.
+
+    The history before the record is truncated, so that its rank is not known
+    until the remaining records have been read.
+    """
 
 
 @attrs.frozen
 class Missing:
-    """The best record lacks sections that the log no longer holds.
+    """The outcome if the highest record lacks sections.
+
+    The log no longer holds the record that contained them.
 
     Attributes:
-        version: The record's version.
-        digest: Its digest.
+        version: Version of the record.
+        digest: Digest of the record.
         hashes: Content hashes of the sections to fetch from peers.
     """
 
@@ -83,11 +92,11 @@
 
 @attrs.frozen
 class Rejected:
-    """The record is not valid.
+    """The outcome for a record that is not valid.
 
     Attributes:
-        reason: Why.
-        digest: Digest of the record; empty if it is none.
+        reason: Why the record is not valid.
+        digest: Digest of the record; empty if the data is no bundle record.
     """
 
     reason: str
@@ -99,22 +108,30 @@
 
 @attrs.frozen
 class _Candidate:
+    """A record that may become the head.
+
+    Attributes:
+        record: The record.
+        offset: Log offset at which it was accepted.
+    """
+
     record: BundleRecord
     offset: int
 
     @property
     def order(self) -> tuple[int, int]:
+        """Sort key; the highest candidate becomes the head."""
         return (self.record.version, -self.offset)
 
 
 class BundleFold:
-    """Folds bundle records into a head.
+    """Folds bundle records into the head.
 
     Args:
-        operators: Public keys whose signatures count, in hexadecimal.
-        signatures: How many different ones a record needs.
-        snapshot_keys: Keys that make snapshots; none accepts any snapshot,
-            for tools that only look.
+        operators: Public keys of the operators, in hexadecimal.
+        signatures: Number of different operators that must sign a record.
+        snapshot_keys: Keys that authenticate snapshots. If there are none,
+            any snapshot is accepted, for read-only tools.
     """
 
     def __init__(
@@ -127,61 +144,69 @@
         self._signatures = signatures
         self._snapshot_keys = tuple(snapshot_keys)
         self._head: Head | None = None
-        self._next = 0
+        self._next_offset = 0
         self._order_known = True
-        self._gap = False
+        self._has_gap = False
         self._candidates: list[_Candidate] = []
-        self._pool: dict[str, bytes] = {}
+        self._candidate_sections: dict[str, bytes] = {}
         self._missing: Missing | None = None
         self._snapshot_offset: int | None = None
 
     @property
     def head(self) -> Head | None:
-        """The bundle in force; None before the first record."""
+        """The bundle in force; None until a record is applied."""
         return self._head
 
     @property
     def next_offset(self) -> int:
-        """Where to read on in the log."""
-        return self._next
+        """Offset at which to continue reading the log."""
+        return self._next_offset
 
     @property
     def order_known(self) -> bool:
-        """Whether every record that led to the head was seen in order."""
+        """Whether the head's place in the order of the log is certain.
+
+        It is after every record was read in order, or after a record that
+        names the head as its parent.
+        """
         return self._order_known
 
     @property
     def missing(self) -> Missing | None:
-        """What to fetch from peers before the best record can be applied."""
+        """The record that cannot be applied until peers send its sections."""
         return self._missing
 
     @property
     def snapshot_offset(self) -> int | None:
-        """Offset of the newest snapshot seen in the log."""
+        """Offset of the newest snapshot that was read from the log."""
         return self._snapshot_offset
 
     def on_page(
         self, entries: Iterable[LogEntry], next_offset: int, end_offset: int
     ) -> list[Outcome]:
-        """Folds what a read from `next_offset` gave.
+        """Folds the records that one read from `next_offset` returned.
 
         Args:
             entries: The records, in offset order.
-            next_offset: Where to read on.
-            end_offset: One past the log's last record.
+            next_offset: Offset at which to continue reading.
+            end_offset: One past the last record of the log.
+
+        Returns:
+            One outcome for each record, and those of the records that were
+            deferred if the end of the log is reached.
         """
         outcomes = [self.on_record(e.data, e.offset) for e in entries]
-        self._pass(next_offset)
+        self._advance(next_offset)
         if next_offset >= end_offset:
-            outcomes.extend(self._settle())
+            outcomes.extend(self._apply_highest())
         return outcomes
 
     def on_record(self, data: bytes, offset: int) -> Outcome:
-        """Folds the next record of the log."""
-        if offset < self._next:
+        """Folds the next record of the log and returns its outcome."""
+        if offset < self._next_offset:
             return Ignored()
-        self._pass(offset)
-        self._next = offset + 1
+        self._advance(offset)
+        self._next_offset = offset + 1
         snapshot = decode_snapshot(data, self._snapshot_keys)
         if snapshot is not None:
             self._snapshot_offset = offset
@@ -191,15 +216,15 @@
             if record is None:
                 return Rejected("not a bundle record")
             candidate = _Candidate(record, offset)
-        refused = self._judge(candidate)
-        if refused is not None:
-            return refused
-        if snapshot is None and not self._gap and self._is_child(candidate):
-            return self._follow(candidate)
+        early_outcome = self._precheck(candidate)
+        if early_outcome is not None:
+            return early_outcome
+        if snapshot is None and not self._has_gap and self._is_child(candidate):
+            return self._apply_child(candidate)
         if snapshot is None and self._order_known:
-            return self._lose(candidate)
+            return self._report_loss(candidate)
         self._candidates.append(candidate)
-        self._pool.update(candidate.record.sections)
+        self._candidate_sections.update(candidate.record.sections)
         return Deferred()
 
     def on_peer_head(
@@ -208,66 +233,76 @@
         offset: int,
         sections: Mapping[str, bytes],
     ) -> Outcome:
-        """Takes the head of a peer that has proved itself.
+        """Applies the head of an authenticated peer if it is newer.
 
         Args:
-            record: The peer's record; its own sections are not needed.
-            offset: Where the peer's head was accepted.
-            sections: Section bytes by content hash, checked by the caller.
+            record: Record of the peer's head; its sections may be missing.
+            offset: Log offset at which the peer's head was accepted.
+            sections: Section bytes by content hash; the caller has verified
+                the hashes.
         """
         candidate = _Candidate(record, offset)
-        refused = self._judge(candidate)
-        if refused is not None:
-            return refused
-        held = self._held() | self._pool | dict(sections)
-        outcome = self._try(candidate, held)
+        early_outcome = self._precheck(candidate)
+        if early_outcome is not None:
+            return early_outcome
+        held = self._head_sections() | self._candidate_sections | dict(sections)
+        outcome = self._apply(candidate, held)
         if not isinstance(outcome, Applied):
             return outcome
         self._order_known = False
-        if offset >= self._next:
-            self._next = offset + 1
-            self._gap = False
-        self._drop_older()
+        if offset >= self._next_offset:
+            self._next_offset = offset + 1
+            self._has_gap = False
+        self._drop_outdated()
         return outcome
 
     def on_sections(self, sections: Mapping[str, bytes]) -> list[Outcome]:
-        """Takes sections that were missing, checked by the caller."""
+        """Adds missing sections and returns the outcomes of their records.
+
+        Args:
+            sections: Section bytes by content hash; the caller has verified
+                the hashes.
+        """
         if self._missing is None:
             return []
-        self._pool.update(sections)
-        return self._settle()
+        self._candidate_sections.update(sections)
+        return self._apply_highest()
 
     def discard_missing(self) -> list[Outcome]:
-        """Gives up the record whose sections no peer has."""
+        """Drops the record whose sections no peer has.
+
+        Returns:
+            The outcomes of the next lower candidates.
+        """
         missing = self._missing
         if missing is None:
             return []
         self._candidates = [
             c for c in self._candidates if c.record.digest != missing.digest
         ]
-        return self._settle()
+        return self._apply_highest()
 
-    def _pass(self, offset: int) -> None:
-        """Moves on to an offset, noting records that expired unread.
+    def _advance(self, offset: int) -> None:
+        """Advances to an offset and notes whether records expired unread.
 
-        Guards against a reader that was away while the log dropped records:
-        a loser that names the reader's old head as its parent would look
-        like the head's child, and the expired winner would be passed over.
+        After such a gap, a child of the head may have lost to a record that
+        has expired. It names the old head as its parent, so it must not be
+        applied before the end of the log is reached.
         """
-        if offset > self._next:
-            self._gap = True
+        if offset > self._next_offset:
+            self._has_gap = True
             self._order_known = False
-            self._next = offset
+            self._next_offset = offset
 
-    def _judge(self, candidate: _Candidate) -> Outcome | None:
-        """Returns why a record cannot become the head, or None."""
+    def _precheck(self, candidate: _Candidate) -> Outcome | None:
+        """Returns the outcome if a record cannot become the head, else None."""
         head = self._head
         record = candidate.record
         if head is not None:
             if record.digest == head.digest or record.version < head.version:
                 return Ignored()
-            later = self._order_known or candidate.offset >= head.offset
-            if record.version == head.version and later:
+            ranks_below = self._order_known or candidate.offset >= head.offset
+            if record.version == head.version and ranks_below:
                 return Lost(record.digest, head.version, head.digest)
         signers = verified_signers(record, self._operators)
         if len(signers) < self._signatures:
@@ -287,7 +322,7 @@
             record.version == head.version + 1
         )
 
-    def _lose(self, candidate: _Candidate) -> Outcome:
+    def _report_loss(self, candidate: _Candidate) -> Outcome:
         head = self._head
         if head is None:
             return Rejected(
@@ -296,36 +331,41 @@
             )
         return Lost(candidate.record.digest, head.version, head.digest)
 
-    def _follow(self, candidate: _Candidate) -> Outcome:
-        """Applies the head's first child in the log.
+    def _apply_child(self, candidate: _Candidate) -> Outcome:
+        """Applies the first child of the head in the log.
 
-        A child proves its parent: the operators signed on what they read as
-        the head. From here on the order of the log is known first-hand.
+        A child confirms its parent, because the operators signed it on top of
+        the head that they had read. From here on the order of the log is
+        known.
         """
         record = candidate.record
-        outcome = self._try(candidate, self._held() | record.sections)
+        outcome = self._apply(
+            candidate, self._head_sections() | record.sections
+        )
         if isinstance(outcome, Missing):
             if self._order_known:
                 return Rejected("sections are missing", record.digest)
             self._candidates.append(candidate)
-            self._pool.update(record.sections)
+            self._candidate_sections.update(record.sections)
             return Deferred()
         if isinstance(outcome, Applied):
             self._order_known = True
-            self._drop_older()
+            self._drop_outdated()
         return outcome
 
-    def _settle(self) -> list[Outcome]:
-        """Applies the highest candidate, having read to the log's end."""
+    def _apply_highest(self) -> list[Outcome]:
+        """Applies the highest candidate at the end of the log."""
         outcomes: list[Outcome] = []
-        self._gap = False
+        self._has_gap = False
         self._missing = None
         for candidate in sorted(
             self._candidates, key=lambda c: c.order, reverse=True
         ):
-            if self._judge(candidate) is not None:
+            if self._precheck(candidate) is not None:
                 continue
-            outcome = self._try(candidate, self._held() | self._pool)
+            outcome = self._apply(
+                candidate, self._head_sections() | self._candidate_sections
+            )
             outcomes.append(outcome)
             if isinstance(outcome, Missing):
                 self._missing = outcome
@@ -334,29 +374,29 @@
                 self._order_known = False
                 break
         self._candidates = []
-        self._pool = {}
+        self._candidate_sections = {}
         return outcomes
 
-    def _try(
+    def _apply(
         self, candidate: _Candidate, held: Mapping[str, bytes]
     ) -> Applied | Missing | Rejected:
         record = candidate.record
-        lacking = {k for k in record.manifest.values() if k not in held}
-        if lacking:
+        missing_hashes = {k for k in record.manifest.values() if k not in held}
+        if missing_hashes:
             return Missing(
-                record.version, record.digest, tuple(sorted(lacking))
+                record.version, record.digest, tuple(sorted(missing_hashes))
             )
         sections = {name: held[key] for name, key in record.manifest.items()}
         head = build_head(record, candidate.offset, sections, self._head)
         if isinstance(head, str):
             return Rejected(head, record.digest)
         if self._head is not None and head.version < self._head.version:
-            raise AssertionError("bundle version would fall")
+            raise AssertionError("bundle version would decrease")
         self._head = head
         return Applied(head)
 
-    def _drop_older(self) -> None:
-        """Drops candidates that the new head has overtaken."""
+    def _drop_outdated(self) -> None:
+        """Drops the candidates that are not newer than the new head."""
         version = self._head.version if self._head else 0
         self._candidates = [
             c for c in self._candidates if c.record.version > version
@@ -364,7 +404,7 @@
         if self._missing is not None and self._missing.version <= version:
             self._missing = None
         if not self._candidates:
-            self._pool = {}
+            self._candidate_sections = {}
 
-    def _held(self) -> dict[str, bytes]:
+    def _head_sections(self) -> dict[str, bytes]:
         return self._head.bodies() if self._head is not None else {}
--- a/caroblug/core/state/_intents.py
+++ b/caroblug/core/state/_intents.py
@@ -1,7 +1,8 @@
-"""Which intent is first for its key: a fold of the log in offset order.
+"""Determines the first intent of each key from the log's records.
 
-The fold is a function of the records alone: every process that has read up
-to an offset agrees on what is remembered there, and on who may call.
+The fold depends on the records alone. All processes that have read up to the
+same offset therefore agree on the state of each key and on the intent that
+may make its call.
 """
 
 import sys
@@ -20,15 +21,15 @@
 
 @attrs.define
 class IntentState:
-    """What is remembered of a key.
+    """The first intent of a key and its outcome.
 
     Attributes:
-        id: The intent that was first.
-        request: Digest of its request.
-        offset: Where it stands on the log.
-        outcome: How it ended; None while that is not known.
-        outcome_offset: Where its outcome stands on the log.
-        later: Later intents for the key that have not been voided.
+        id: Identity of the intent.
+        request: Digest of the request.
+        offset: Log offset of the intent.
+        outcome: Outcome of the intent; None until it is recorded.
+        outcome_offset: Log offset of the outcome.
+        later: Later intents of the key that have not been voided.
     """
 
     id: IntentId
@@ -41,17 +42,24 @@
 
 @attrs.define
 class _Writer:
+    """The last batch of a writer.
+
+    Attributes:
+        sequence: Sequence number of the batch.
+        offset: Log offset of the batch.
+    """
+
     sequence: int
     offset: int
 
 
 class IntentFold:
-    """Folds the records of one stream of calls.
+    """Folds the call records of one log stream.
 
-    Memory is bounded by the log itself: a batch carries a horizon, and what
-    stands before the highest horizon read is forgotten. Clocks are never
-    compared: the writer of a horizon has held the records before it for the
-    whole window by its own clock.
+    The log bounds the memory: each batch carries a horizon, and intents
+    before the highest horizon are dropped. Clocks of different processes are
+    never compared. The writer of a horizon has known the records before it
+    for the whole window by its own clock.
     """
 
     def __init__(self) -> None:
@@ -65,29 +73,29 @@
 
     @property
     def next_offset(self) -> int:
-        """Offset of the first record not yet folded."""
+        """Offset of the first record that is not folded yet."""
         return self._next_offset
 
     @property
     def horizon(self) -> int:
-        """What stands before this offset is forgotten."""
+        """Offset before which all intents are dropped."""
         return self._horizon
 
     def lookup(self, key: bytes) -> IntentState | None:
-        """Returns what is remembered of a key."""
+        """Returns the state of a key's first intent, or None."""
         return self._keys.get(key)
 
     def has_batch(self, writer: str, sequence: int) -> bool:
-        """Tells whether a writer's batch has been folded."""
-        known = self._writers.get(writer)
-        return known is not None and known.sequence >= sequence
+        """Returns whether a writer's batch or a later one has been folded."""
+        last = self._writers.get(writer)
+        return last is not None and last.sequence >= sequence
 
     def on_record(self, offset: int, data: bytes) -> CallBatch | None:
         """Folds the record at an offset.
 
         Returns:
-            The batch if it counted, None if it was read before, is late or
-            is not a batch.
+            The batch if it takes effect. None if it was read before, if it
+            is late or if the data is not a batch.
         """
         if offset < self._next_offset:
             return None
@@ -95,7 +103,7 @@
         batch = decode_batch(data)
         if batch is None or self._is_late(batch, offset):
             return None
-        self._forget(batch.horizon)
+        self._drop_before(batch.horizon)
         for entry in batch.entries:
             if isinstance(entry, Intent):
                 self._on_intent(entry, offset)
@@ -104,49 +112,49 @@
         return batch
 
     def skip_to(self, offset: int) -> None:
-        """Passes over records that have expired unread."""
+        """Skips records that expired before they were read."""
         self._next_offset = max(self._next_offset, offset)
 
     def _is_late(self, batch: CallBatch, offset: int) -> bool:
-        """Tells whether the writer has already written a later batch.
+        """Returns whether the writer's same or a later batch is folded.
 
-        Guards against an append whose answer was lost and which takes effect
-        late, or twice: its writer has given those intents up by then, and a
-        caller may have been told that the call did not run.
+        An append whose response was lost may take effect late or twice. By
+        then its writer has given up the intents, and a caller may have got
+        the response that the call did not run.
         """
-        known = self._writers.get(batch.writer)
-        if known is None:
+        last = self._writers.get(batch.writer)
+        if last is None:
             writer = sys.intern(batch.writer)
             self._writers[writer] = _Writer(batch.sequence, offset)
             return False
-        if batch.sequence <= known.sequence:
+        if batch.sequence <= last.sequence:
             return True
-        known.sequence = batch.sequence
-        known.offset = offset
+        last.sequence = batch.sequence
+        last.offset = offset
         return False
 
-    def _forget(self, horizon: int) -> None:
+    def _drop_before(self, horizon: int) -> None:
         if horizon <= self._horizon:
             return
         self._horizon = horizon
-        # Keys are held nearly in the order of their offsets; one that has
-        # moved to the end is remembered for longer.
+        # The keys are almost in the order of their offsets. A key that was
+        # moved to the end is retained longer than necessary.
         while self._keys:
             key = next(iter(self._keys))
             if self._keys[key].offset >= horizon:
                 break
-            self._drop_first(key)
-        old = [w for w, k in self._writers.items() if k.offset < horizon]
-        for writer in old:
+            self._drop_first_intent(key)
+        expired = [w for w, k in self._writers.items() if k.offset < horizon]
+        for writer in expired:
             del self._writers[writer]
 
-    def _drop_first(self, key: bytes) -> None:
-        """Forgets the first intent of a key and makes the next one first.
+    def _drop_first_intent(self, key: bytes) -> None:
+        """Drops the first intent of a key and makes the next one first.
 
-        Guards against a second run by one who has read more than another: a
-        new process reads the log from its oldest kept record and may win with
-        an intent that is not first for a process which still remembers an
-        expired one. When that one is forgotten, the winner must stay known.
+        A new process reads the log from its oldest retained record. It may
+        win with an intent that is a later one for a process that still knows
+        an expired intent. When that process drops the expired intent, it must
+        retain the winner, or the call could run a second time.
         """
         later = self._keys.pop(key).later
         if later:
@@ -165,10 +173,10 @@
             return
         for state in (first, *first.later):
             if state.id == outcome.id and state.outcome is None:
-                self._end(first, state, outcome, offset)
+                self._record_outcome(first, state, outcome, offset)
                 return
 
-    def _end(
+    def _record_outcome(
         self,
         first: IntentState,
         state: IntentState,
@@ -179,6 +187,6 @@
             state.outcome = outcome.kind
             state.outcome_offset = offset
         elif state is first:
-            self._drop_first(outcome.key)
+            self._drop_first_intent(outcome.key)
         else:
             first.later = tuple(s for s in first.later if s is not state)
