--- a/caroblug/core/state/_keys.py
+++ b/caroblug/core/state/_keys.py
@@ -1,4 +1,7 @@
-"""Callers' keys: `ACCOUNT:SECRET`, kept only as salted hashes."""
+"""API keys of client accounts, stored only as salted hashes.
+
+A key has the form `ACCOUNT:SECRET`.
+"""
 
 import hashlib
 import hmac
@@ -11,26 +14,26 @@
 
 
 def make_key(client_account: str) -> str:
-    """Returns a new key for an account."""
+    """Returns a new random key for an account."""
     secret = secrets.token_urlsafe(_SECRET_BYTES)
     return f"{client_account}{_SEPARATOR}{secret}"
 
 
 def parse_account(key: str) -> str:
-    """Returns the account that a key names; empty if it names none."""
+    """Returns the account in a key; empty if the key has no separator."""
     account, separator, _ = key.partition(_SEPARATOR)
     return account if separator else ""
 
 
 def hash_key(key: str, salt: str = "") -> str:
-    """Returns `SALT:HASH` of a key.
+    """Returns the salted hash of a key as `SALT:HASH`.
 
-    A key holds 192 random bits, so that a fast hash is enough: there is no
-    dictionary of likely keys to try.
+    A fast hash is enough, because a key contains 192 random bits and cannot
+    be found by a dictionary attack.
 
     Args:
         key: The whole key.
-        salt: Hexadecimal salt; a new one if empty.
+        salt: Salt in hexadecimal; if empty, a random one is generated.
     """
     salt = salt or secrets.token_hex(_SALT_BYTES)
     digest = hashlib.blake2b(
@@ -40,6 +43,6 @@
 
 
 def key_matches(key: str, key_hash: str) -> bool:
-    """Tells, in constant time, whether a key has this hash."""
+    """Returns whether a key has the hash; compares in constant time."""
     salt, _, _ = key_hash.partition(_SEPARATOR)
     return hmac.compare_digest(hash_key(key, salt), key_hash)
--- a/caroblug/core/state/_leases.py
+++ b/caroblug/core/state/_leases.py
@@ -1,24 +1,27 @@
-"""Leases of engines: a fold of the log, and what one holder may do."""
+"""Leases of engines on the log: the fold and the lease holder's protocol.
+
+Only the holder of an engine's lease may send it orders.
+"""
 
 import dataclasses
 
 import attrs
 import orjson
 
-_WAIT_SHARE = 1.05
+_WAIT_FACTOR = 1.05
 
 
 @attrs.frozen
 class LeaseRecord:
-    """Takes or frees the lease of an engine.
+    """A log record that acquires or releases the lease of an engine.
 
     Attributes:
         engine: Name of the engine.
-        holder: One life of one side process.
-        attempt: Counts the holder's records.
-        after: Number of the lease that this one follows; -1 for the first.
-        term_ms: How long the lease lasts; 0 frees it.
-        version: Version of the bundle that the holder follows.
+        holder: Identity of one run of a side process.
+        attempt: Sequence number of the record at this holder.
+        after: Number of the preceding lease; -1 for the first lease.
+        term_ms: Duration of the lease; 0 releases it.
+        version: Version of the bundle that the holder applies.
     """
 
     engine: str
@@ -31,10 +34,11 @@
 
 @attrs.frozen
 class Lease:
-    """A lease in force, or the last one.
+    """A lease that is in force or has ended.
 
     Attributes:
-        number: Offset of its record: a later lease has a higher one.
+        number: Log offset of its record. Later leases have higher numbers,
+            so that the number serves as a fencing token.
         record: The record.
     """
 
@@ -48,7 +52,7 @@
 
 
 def decode_lease(data: bytes) -> LeaseRecord | None:
-    """Returns the record, or None if these bytes are not one."""
+    """Returns the record, or None if the data does not encode one."""
     try:
         body = orjson.loads(data)
         if body["kind"] != "lease":
@@ -66,13 +70,14 @@
 
 
 class LeaseFold:
-    """Folds the records of one engine's lease.
+    """Folds the lease records of one engine.
 
-    A record counts only if it follows the lease in force: of two successors
-    that have waited out the same lease, the first in the log's order wins.
+    A record takes effect only if it names the last lease as its predecessor.
+    If two successors wait for the same lease to end, the one whose record
+    comes first in the log wins.
 
     Args:
-        engine: Name of the engine; records of others are passed over.
+        engine: Name of the engine; records of other engines are ignored.
     """
 
     def __init__(self, engine: str) -> None:
@@ -82,12 +87,12 @@
 
     @property
     def next_offset(self) -> int:
-        """Offset of the first record not yet folded."""
+        """Offset of the first record that is not folded yet."""
         return self._next_offset
 
     @property
     def lease(self) -> Lease | None:
-        """The lease in force or the last one; None before the first."""
+        """The last lease, in force or not; None before the first."""
         return self._lease
 
     def on_record(self, offset: int, data: bytes) -> None:
@@ -98,57 +103,68 @@
         record = decode_lease(data)
         if record is None or record.engine != self._engine:
             return
-        # After the whole stream has expired, the first record kept begins
-        # anew: every lease before it has ended long ago.
+        # If all earlier records have expired, the first retained record
+        # starts a new sequence. Every lease before it ended long ago.
         if self._lease is None or self._follows(record, self._lease):
             self._lease = Lease(offset, record)
 
     def _follows(self, record: LeaseRecord, lease: Lease) -> bool:
-        """Tells whether a record may follow a lease.
+        """Returns whether a record may follow a lease.
 
-        Guards against a side process that wakes up with the bundle of an
-        hour ago, takes a free lease and orders what was in force then.
+        A side process that resumes after a long pause may still have an old
+        bundle. It must not take a free lease and order the engine to apply
+        that bundle.
         """
         if record.version < lease.record.version:
             return False
         return record.after == lease.number
 
     def skip_to(self, offset: int) -> None:
-        """Passes over records that have expired unread."""
+        """Skips records that expired before they were read."""
         self._next_offset = max(self._next_offset, offset)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Held:
-    """The lease is held; `number` fences the orders."""
+    """The lease is held.
+
+    Attributes:
+        number: Fencing number for the orders.
+    """
 
     number: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LeaseWait:
-    """Another one's lease may be in force for this long."""
+    """The lease of another holder may still be in force.
+
+    Attributes:
+        ms: Time until it has ended.
+    """
 
     ms: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OutdatedBundle:
-    """The engine was ordered by a newer bundle than the own one."""
+    """The last holder applied a newer bundle than this process has."""
 
 
 class LeaseHolder:
-    """One side process's part in the lease of its engine.
+    """Acquires, checks and releases the lease of one engine.
 
-    Clocks are never compared: a holder counts its term from before it
-    appended the record, a successor from when it read that record, which is
-    later. The successor waits a twentieth longer, for clocks that run apart.
+    Clocks of different processes are never compared. A holder measures its
+    term from before it appends the record. A successor measures it from when
+    it reads that record, which is later, and waits 5% longer to allow for
+    clock drift.
 
     Args:
         engine: Name of the engine.
-        holder: Identity of this life of this process.
-        fold: The fold; the caller feeds it and calls `on_read`.
-        term_ms: How long a lease lasts.
+        holder: Identity of this run of this process.
+        fold: The fold of the lease records. The caller adds the records and
+            calls `on_read` after each read.
+        term_ms: Duration of a lease.
     """
 
     def __init__(
@@ -159,66 +175,76 @@
         self._fold = fold
         self._term_ms = term_ms
         self._attempt = 0
-        self._began_ms: dict[int, int] = {}
-        self._seen: Lease | None = None
-        self._seen_ms = 0
+        self._attempt_start_ms: dict[int, int] = {}
+        self._last_lease: Lease | None = None
+        self._last_lease_read_ms = 0
 
     def on_read(self, now_ms: int) -> None:
-        """Notes when the lease in force was first seen."""
-        if self._fold.lease != self._seen:
-            self._seen = self._fold.lease
-            self._seen_ms = now_ms
+        """Notes when the last lease was first read."""
+        if self._fold.lease != self._last_lease:
+            self._last_lease = self._fold.lease
+            self._last_lease_read_ms = now_ms
 
     def next_step(
         self, now_ms: int, version: int
     ) -> LeaseRecord | Held | LeaseWait | OutdatedBundle:
-        """Returns a record to append, the lease, or how long to wait.
+        """Returns the next step to acquire the lease.
+
+        After a record has been appended, or may have been, the caller must
+        read the log to its end before the next call.
+
+        Args:
+            now_ms: Current time.
+            version: Version of the bundle to apply.
 
-        After a record has been appended, or may have been, the log must be
-        read to its end before the next call.
+        Returns:
+            A record to append, the held lease, the time to wait, or that the
+            bundle is outdated.
         """
         number = self.fencing_number(now_ms)
         if number is not None:
             return Held(number)
-        lease = self._seen
+        lease = self._last_lease
         if lease is not None and version < lease.record.version:
             return OutdatedBundle()
-        if lease is not None and not self._is_over(lease, now_ms):
-            return LeaseWait(self._ends_ms(lease) - now_ms)
+        if lease is not None and not self._has_ended(lease, now_ms):
+            return LeaseWait(self._end_ms(lease) - now_ms)
         after = -1 if lease is None else lease.number
-        return self._make(now_ms, after, self._term_ms, version)
+        return self._make_record(now_ms, after, self._term_ms, version)
 
     def release(self, now_ms: int) -> LeaseRecord | None:
-        """Returns the record that frees the lease; None if it isn't held."""
+        """Returns the record that releases the lease; None if it isn't held."""
         number = self.fencing_number(now_ms)
         if number is None:
             return None
-        return self._make(now_ms, number, 0, self._seen.record.version)
+        return self._make_record(
+            now_ms, number, 0, self._last_lease.record.version
+        )
 
     def fencing_number(self, now_ms: int) -> int | None:
-        """Returns the number for an order sent right now, if it may be.
+        """Returns the fencing number for an order, or None if not allowed.
 
-        Guards against a holder that was paused past its term and does not
-        know: its own clock shows it. To be asked right before each send.
+        A holder may have been paused beyond its term without noticing, so the
+        term is checked by its own clock. Call this right before each send.
         """
-        lease = self._seen
+        lease = self._last_lease
         if lease is None or lease.record.holder != self._holder:
             return None
-        began_ms = self._began_ms.get(lease.record.attempt)
-        if began_ms is None or now_ms >= began_ms + lease.record.term_ms:
+        start_ms = self._attempt_start_ms.get(lease.record.attempt)
+        if start_ms is None or now_ms >= start_ms + lease.record.term_ms:
             return None
         return lease.number
 
-    def _make(
+    def _make_record(
         self, now_ms: int, after: int, term_ms: int, version: int
     ) -> LeaseRecord:
         self._attempt += 1
-        self._began_ms = {
-            attempt: began_ms
-            for attempt, began_ms in self._began_ms.items()
-            if now_ms < began_ms + self._term_ms
+        self._attempt_start_ms = {
+            attempt: start_ms
+            for attempt, start_ms in self._attempt_start_ms.items()
+            if now_ms < start_ms + self._term_ms
         }
-        self._began_ms[self._attempt] = now_ms
+        self._attempt_start_ms[self._attempt] = now_ms
         return LeaseRecord(
             self._engine,
             self._holder,
@@ -228,10 +254,14 @@
             version,
         )
 
-    def _is_over(self, lease: Lease, now_ms: int) -> bool:
+    def _has_ended(self, lease: Lease, now_ms: int) -> bool:
         if lease.record.holder == self._holder:
             return True
-        return now_ms >= self._ends_ms(lease)
+        return now_ms >= self._end_ms(lease)
 
-    def _ends_ms(self, lease: Lease) -> int:
-        return self._seen_ms + int(lease.record.term_ms * _WAIT_SHARE) + 1
+    def _end_ms(self, lease: Lease) -> int:
+        return (
+            self._last_lease_read_ms
+            + int(lease.record.term_ms * _WAIT_FACTOR)
+            + 1
+        )
--- a/caroblug/core/state/_membership.py
+++ b/caroblug/core/state/_membership.py
@@ -1,9 +1,9 @@
-"""Who belongs to the fleet: the instance list joined with what is heard.
+"""Fleet membership from the instance list and the direct connections.
 
-The platform's list lags: it misses an instance that has just started and
-still shows one that has just died. What an instance hears on its own
-connections is newer but covers only its few peers. The joined view takes the
-list for everybody and its own ears for those it is connected with.
+The instance list of the platform lags behind: it lacks an instance that has
+just started and still contains one that has just failed. Direct connections
+are more current but exist with only a few peers. The combined view uses the
+connections where there are any, and the list otherwise.
 """
 
 from collections.abc import Iterable
@@ -19,11 +19,11 @@
     """An instance of the fleet.
 
     Attributes:
-        instance: Its name.
+        instance: Name of the instance.
         role: `entry` or `side`.
         host: IP address.
         port: Port for caroblug's own processes.
-        data_centre: Where it runs.
+        data_centre: Data centre in which it runs.
     """
 
     instance: str
@@ -35,16 +35,16 @@
 
 @attrs.frozen
 class MemberView:
-    """The members as one instance sees them at one moment.
+    """The live members as one instance sees them at one moment.
 
     Attributes:
-        members: In the order of their names.
+        members: The members, sorted by name.
     """
 
     members: tuple[Member, ...] = ()
 
     def live(self, role: str = "", data_centre: str = "") -> list[Member]:
-        """Returns the members of a role and data centre; empty means any."""
+        """Returns the members with a role and data centre; empty means any."""
         return [
             m
             for m in self.members
@@ -57,29 +57,30 @@
 
 
 def rank_members(key: str, members: Iterable[Member]) -> list[Member]:
-    """Returns members by rendezvous hashing, the first choice first.
+    """Returns members ranked by rendezvous hashing, the first choice first.
 
-    Two views that differ in one member agree on the first choice for all
-    keys but those that this member would win.
+    Two views that differ in one member agree on the first choice of all keys
+    except those whose first choice is that member.
 
     Args:
-        key: What is to be placed.
-        members: Candidates.
+        key: The key to place.
+        members: The candidates.
     """
 
-    def _weight(member: Member) -> int:
+    def _hash_weight(member: Member) -> int:
         text = f"{key}\n{member.instance}"
         return xxhash.xxh64_intdigest(text.encode())
 
-    return sorted(members, key=_weight, reverse=True)
+    return sorted(members, key=_hash_weight, reverse=True)
 
 
 class Membership:
-    """Joins the instance list with what is heard directly.
+    """Combines the instance list with the state of direct connections.
 
     Args:
-        own: This instance; always part of its own view.
-        retry_ms: How long a lost instance that is still listed is left out.
+        own: This instance; it is always part of its own view.
+        retry_ms: Time for which an instance with a lost connection is left
+            out while the list still contains it.
     """
 
     def __init__(self, own: Member, retry_ms: int = _RETRY_MS) -> None:
@@ -88,7 +89,7 @@
         self._listed: dict[str, Member] = {}
         self._listed_leaving: frozenset[str] = frozenset()
         self._connected: dict[str, Member] = {}
-        self._said_leaving: set[str] = set()
+        self._reported_leaving: set[str] = set()
         self._lost_ms: dict[str, int] = {}
 
     @property
@@ -98,43 +99,49 @@
 
     @property
     def withdrawn(self) -> bool:
-        """Whether the list shows this instance as leaving."""
+        """Whether the list marks this instance as leaving."""
         return self._own.instance in self._listed_leaving
 
     def on_listed(
         self, members: Iterable[Member], leaving: Iterable[str]
     ) -> None:
-        """Takes a whole answer of the instance list."""
+        """Replaces the listed members by a complete instance list.
+
+        Args:
+            members: All listed instances.
+            leaving: Names of the instances that the list marks as leaving.
+        """
         self._listed = {m.instance: m for m in members}
         self._listed_leaving = frozenset(leaving)
         known = self._listed.keys() | self._connected.keys()
-        self._said_leaving &= known
+        self._reported_leaving &= known
         self._lost_ms = {k: v for k, v in self._lost_ms.items() if k in known}
 
     def on_connected(self, member: Member) -> None:
-        """Learns of a connection with a member that has proved itself."""
+        """Adds a connection with an authenticated member."""
         self._connected[member.instance] = member
-        self._said_leaving.discard(member.instance)
+        self._reported_leaving.discard(member.instance)
         self._lost_ms.pop(member.instance, None)
 
     def on_disconnected(self, instance: str, now_ms: int) -> None:
-        """Learns that the last connection with a member has ended."""
+        """Notes that the last connection with a member has ended."""
         self._connected.pop(instance, None)
         self._lost_ms[instance] = now_ms
 
     def on_report(self, instance: str, *, leaving: bool) -> None:
-        """Learns from a member itself whether it is leaving.
+        """Notes a member's own report whether it is leaving.
 
-        Guards against the list's lag: it shows the instance as live for
-        some seconds more, but its own word stands until it is heard anew.
+        The list may show a leaving member as live for some seconds more. The
+        member's report takes precedence until it connects again or reports
+        otherwise.
         """
         if leaving:
-            self._said_leaving.add(instance)
+            self._reported_leaving.add(instance)
         else:
-            self._said_leaving.discard(instance)
+            self._reported_leaving.discard(instance)
 
     def view(self, now_ms: int) -> MemberView:
-        """Returns the members that may be given work now."""
+        """Returns the members that can take new work at this time."""
         found = {**self._listed, **self._connected}
         found[self._own.instance] = self._own
         members = [
@@ -145,7 +152,7 @@
         return MemberView(tuple(members))
 
     def _is_live(self, name: str, now_ms: int) -> bool:
-        if name in self._said_leaving or name in self._listed_leaving:
+        if name in self._reported_leaving or name in self._listed_leaving:
             return False
         lost_ms = self._lost_ms.get(name)
         return lost_ms is None or now_ms - lost_ms >= self._retry_ms
