--- a/caroblug/core/state/_records.py
+++ b/caroblug/core/state/_records.py
@@ -1,4 +1,4 @@
-"""Bundle records: what an operator appends to the log."""
+"""Signed bundle records and snapshots on the log, and their encoding."""
 
 import hashlib
 import hmac
@@ -15,16 +15,16 @@
 
 from caroblug.core.state._sections import section_hash
 
-_DOMAIN = b"caroblug bundle 1\n"
+_SIGNING_CONTEXT = b"caroblug bundle 1\n"
 _DIGEST_BYTES = 20
-_MAX_KEY = 64
-_BUNDLE = "bundle"
-_SNAPSHOT = "snapshot"
+_MAX_KEY_BYTES = 64
+_BUNDLE_KIND = "bundle"
+_SNAPSHOT_KIND = "snapshot"
 
 
 @attrs.frozen
 class Signature:
-    """One operator's signature.
+    """The signature of one operator.
 
     Attributes:
         key: Ed25519 public key, in hexadecimal.
@@ -40,11 +40,12 @@
     """One version of the bundle.
 
     Attributes:
-        version: Parent's version plus one.
-        parent: Digest of the parent; empty for the first.
+        version: Version of the bundle: the parent's version plus one.
+        parent: Digest of the parent record; empty for the first record.
         manifest: Content hash by section name.
-        sections: Section bytes by content hash; changed ones at least.
-        signatures: Operators' signatures over the digest.
+        sections: Section bytes by content hash; contains at least the
+            sections that changed.
+        signatures: Signatures of operators over `signed_bytes`.
     """
 
     version: int
@@ -55,29 +56,31 @@
 
     @property
     def digest(self) -> str:
-        """Identity of this version: a hash of everything but signatures."""
+        """Hash of the version, parent and manifest; identifies the record."""
         return hashlib.blake2b(
             self.signed_bytes, digest_size=_DIGEST_BYTES
         ).hexdigest()
 
     @property
     def signed_bytes(self) -> bytes:
-        """The bytes that operators sign."""
+        """Bytes that operators sign."""
         body = {
             "version": self.version,
             "parent": self.parent,
             "manifest": self.manifest,
         }
-        return _DOMAIN + orjson.dumps(body, option=orjson.OPT_SORT_KEYS)
+        return _SIGNING_CONTEXT + orjson.dumps(
+            body, option=orjson.OPT_SORT_KEYS
+        )
 
 
 @attrs.frozen
 class Snapshot:
-    """A head that an instance appends again before its record expires.
+    """A copy of the head, appended before the head's own record expires.
 
     Attributes:
-        record: The head's record with all of its sections.
-        offset: Where in the log the record was accepted.
+        record: Record of the head with all of its sections.
+        offset: Log offset at which the record was accepted.
     """
 
     record: BundleRecord
@@ -93,10 +96,11 @@
     """Returns an unsigned record.
 
     Args:
-        sections: The whole bundle, section bytes by name.
-        version: The record's version.
-        parent: Digest of the parent.
-        known: Content hashes that readers already hold; left out.
+        sections: Section bytes of the whole bundle, by name.
+        version: Version of the record.
+        parent: Digest of the parent record.
+        known: Content hashes of sections that readers already hold; these
+            sections are left out.
     """
     manifest = {key: section_hash(body) for key, body in sections.items()}
     changed = {
@@ -108,7 +112,7 @@
 
 
 def sign_record(record: BundleRecord, private_key: bytes) -> BundleRecord:
-    """Returns the record with one more signature."""
+    """Returns the record with the signature of a private key added."""
     key = Ed25519PrivateKey.from_private_bytes(private_key)
     signature = Signature(
         key.public_key().public_bytes_raw().hex(),
@@ -121,7 +125,7 @@
 def verified_signers(
     record: BundleRecord, operators: Collection[str]
 ) -> frozenset[str]:
-    """Returns which of the operators' keys have signed, checked."""
+    """Returns the operators' keys whose signatures are valid."""
     signers = set()
     for signature in record.signatures:
         if signature.key not in operators:
@@ -137,35 +141,35 @@
 
 def encode_record(record: BundleRecord) -> bytes:
     """Returns the record as deterministic JSON."""
-    body = _record_body(record)
+    body = _encode_body(record)
     return orjson.dumps(body, option=orjson.OPT_SORT_KEYS)
 
 
 def encode_snapshot(snapshot: Snapshot, key: bytes) -> bytes:
-    """Returns a snapshot as deterministic JSON.
+    """Returns the snapshot as deterministic JSON.
 
     Args:
         snapshot: The snapshot.
-        key: Key that only processes of the system hold.
+        key: Secret key that only instances of the system hold.
     """
-    body = _record_body(snapshot.record)
-    body["kind"] = _SNAPSHOT
+    body = _encode_body(snapshot.record)
+    body["kind"] = _SNAPSHOT_KIND
     body["offset"] = snapshot.offset
-    body["code"] = _snapshot_code(snapshot, key)
+    body["code"] = _authentication_code(snapshot, key)
     return orjson.dumps(body, option=orjson.OPT_SORT_KEYS)
 
 
 def decode_snapshot(data: bytes, keys: Collection[bytes]) -> Snapshot | None:
-    """Returns the snapshot, or None if these bytes are not one.
+    """Returns the snapshot, or None if the data does not encode one.
 
     Args:
-        data: A record of the log.
-        keys: Keys of which one must have made its code; none accepts any
-            snapshot, for a reader that only looks.
+        data: Bytes of a log record.
+        keys: Keys of which one must match the authentication code. If there
+            are none, any snapshot is accepted, for read-only tools.
     """
     try:
         body = orjson.loads(data)
-        if body["kind"] != _SNAPSHOT or type(body["offset"]) is not int:
+        if body["kind"] != _SNAPSHOT_KIND or type(body["offset"]) is not int:
             return None
         record = _parse_record(body)
         code = str(body["code"])
@@ -175,28 +179,31 @@
         return None
     snapshot = Snapshot(record, body["offset"])
     if keys and not any(
-        hmac.compare_digest(_snapshot_code(snapshot, key), code) for key in keys
+        hmac.compare_digest(_authentication_code(snapshot, key), code)
+        for key in keys
     ):
         return None
     return snapshot
 
 
-def _snapshot_code(snapshot: Snapshot, key: bytes) -> str:
-    """Returns the code that proves who says where a record was accepted.
+def _authentication_code(snapshot: Snapshot, key: bytes) -> str:
+    """Returns the authentication code of a record and its offset.
 
-    Guards against a replay that claims an early offset for a record that
-    lost its race: whoever can write to the log could otherwise turn readers
-    whose history is truncated to it.
+    Without the code, anyone who can write to the log could claim an early
+    offset for a record that lost its race. Readers with a truncated history
+    would then take that record as the head.
     """
     text = f"{snapshot.record.digest} {snapshot.offset}"
     return hashlib.blake2b(
-        _DOMAIN + text.encode(), key=key[:_MAX_KEY], digest_size=_DIGEST_BYTES
+        _SIGNING_CONTEXT + text.encode(),
+        key=key[:_MAX_KEY_BYTES],
+        digest_size=_DIGEST_BYTES,
     ).hexdigest()
 
 
-def _record_body(record: BundleRecord) -> dict[str, Any]:
+def _encode_body(record: BundleRecord) -> dict[str, Any]:
     return {
-        "kind": _BUNDLE,
+        "kind": _BUNDLE_KIND,
         "version": record.version,
         "parent": record.parent,
         "manifest": record.manifest,
@@ -210,14 +217,14 @@
 
 
 def decode_record(data: bytes) -> BundleRecord | None:
-    """Returns the record, or None if these bytes are not one.
+    """Returns the record, or None if the data does not encode a valid one.
 
-    Sections whose bytes do not have the hash they are named by make the
-    record invalid: they are not covered by the signature otherwise.
+    A record is invalid if a section does not match its content hash, because
+    the signatures cover the sections only through their hashes.
     """
     try:
         body = orjson.loads(data)
-        return _parse_record(body) if body["kind"] == _BUNDLE else None
+        return _parse_record(body) if body["kind"] == _BUNDLE_KIND else None
     except (KeyError, TypeError, ValueError, AttributeError):
         return None
 
