--- a/caroblug/core/state/_owner.py
+++ b/caroblug/core/state/_owner.py
@@ -334,7 +334,7 @@
         live = self._live[key]
         if live.phase is not _Phase.WON:
             raise AssertionError(
-                "call for an intent that is not won or already used"
+                "the intent has not won or its call was already made"
             )
         if now_ms > live.deadline_ms:
             return False
--- a/caroblug/core/state/tests/test_dissemination.py
+++ b/caroblug/core/state/tests/test_dissemination.py
@@ -1,4 +1,4 @@
-"""Tests of who reads the log, who is asked, and when to step in."""
+"""Tests of bundle dissemination: fetches, log reads and neighbours."""
 
 import random
 
@@ -37,11 +37,11 @@
     return dissemination
 
 
-def test_another_peer_is_asked_when_the_first_is_lost_or_silent():
-    """One instance keeps an old limit for as long as its peer hangs.
+def test_fetch_moves_to_another_peer_if_the_first_is_lost_or_silent():
+    """Guards against an outdated bundle while one peer does not respond.
 
-    The peer that told of the new head dies, or never answers; another one
-    that told of it too is asked at once, or after the time-out.
+    The peer that advertised the new head fails or never answers. Another peer
+    that advertised it too is used at once or after the timeout.
     """
     dissemination = _make_dissemination()
     assert dissemination.on_advert("p1", _NEW, 0) == Fetch("p1", "new")
@@ -63,11 +63,11 @@
     assert dissemination.on_advert("p1", Advert(1, "rival", 2), 0) is not None
 
 
-def test_non_reader_steps_in_only_when_the_log_was_not_seen_for_long():
-    """Nobody reads the log although each believes that others do.
+def test_non_reader_reads_only_after_a_long_time_without_a_log_read():
+    """Guards against a log that no instance reads.
 
-    Views differ, or the readers cannot reach the log; what is told of its
-    age grows, and others step in without storming it.
+    Views differ, or the readers cannot reach the log. The advertised age of
+    the last read grows until other instances read the log, with backoff.
     """
     dissemination = _make_dissemination()
     assert dissemination.should_read(0)
@@ -82,10 +82,10 @@
 
 
 @pytest.mark.parametrize("count", [1, 2, 5, 110])
-def test_neighbours_are_few_and_leave_no_island(count):
-    """Some instances never hear of a bundle.
+def test_neighbours_are_few_and_connect_all_instances(count):
+    """Guards against instances that never receive a new bundle.
 
-    A group whose members all choose neighbours within it is an island.
+    A group is isolated if all of its members choose neighbours within it.
     """
     view = _view(count)
     links = {m.instance: set() for m in view.members}
--- a/caroblug/core/state/tests/test_fold.py
+++ b/caroblug/core/state/tests/test_fold.py
@@ -1,4 +1,4 @@
-"""Tests of the fold of bundle records."""
+"""Tests of the bundle fold: races, truncated logs and forgeries."""
 
 import attrs
 from cryptography.hazmat.primitives.asymmetric.ed25519 import (
@@ -39,7 +39,7 @@
 
 
 def _chain(count):
-    """Returns `count` records, each the child of the one before."""
+    """Returns `count` records, each the child of the previous one."""
     records = [_record(8, 1, "")]
     while len(records) < count:
         last = records[-1]
@@ -53,10 +53,10 @@
 
 
 def test_racing_operators_have_one_winner():
-    """Two operators publish at once and each believes to have won.
+    """Guards against two operators that both seem to have published.
 
-    Both records name the same parent; the first in the log's order becomes
-    the head, the other is told which one won.
+    Both records name the same parent. The first one in the log becomes the
+    head, and the outcome of the other one names the winner.
     """
     fold = _fold()
     first = fold.on_record(encode_record(_record(8, 1, "")), 0)
@@ -69,9 +69,9 @@
 
 
 def test_child_of_a_loser_has_lost_too():
-    """An operator builds on a version that was never in force.
+    """Guards against a bundle based on one that was never in force.
 
-    The loser's record was taken for the head by hand; its child has the next
+    An operator uses a losing record as the parent. The child has the next
     version, but its parent is not the head.
     """
     fold = _fold()
@@ -85,9 +85,9 @@
 
 
 def test_replayed_record_never_reverts():
-    """Limits jump back to those of last week.
+    """Guards against a return to an old bundle.
 
-    An old, validly signed record is appended once more; the head stays.
+    An old record with valid signatures is appended again; the head stays.
     """
     fold = _fold()
     old = _record(8, 1, "")
@@ -115,12 +115,12 @@
 
 
 def test_loser_is_not_taken_where_the_winner_has_expired():
-    """Half of the fleet runs one version 3 and half another.
+    """Guards against two different bundles of one version in a fleet.
 
-    An instance is cut off at version 2 while the log drops records. The
-    winner of version 3 has expired, the loser appended after it has not, and
-    it names version 2 as its parent. The winner's snapshot comes later in
-    the log; it says where the winner was accepted.
+    An instance is disconnected at version 2 while records expire. The winner
+    of version 3 has expired. The loser, which was appended after it, has not,
+    and names version 2 as its parent. The winner's snapshot comes later in
+    the log and contains the offset at which the winner was accepted.
     """
     one, two, winner = _chain(3)
     loser = _record(99, 3, two.digest)
@@ -132,11 +132,11 @@
     assert fold.head.digest == winner.digest
 
 
-def test_forged_snapshot_does_not_turn_a_race():
-    """A record that lost comes into force at new instances only.
+def test_forged_snapshot_does_not_change_the_winner():
+    """Guards against a losing record that takes effect at new instances.
 
-    Somebody who can write to the log appends the loser as a snapshot that
-    claims an early offset; without the instances' key it counts for nothing.
+    Someone with write access to the log appends the loser as a snapshot with
+    an early offset. Without the instances' key, the snapshot is not valid.
     """
     one, two, winner = _chain(3)
     loser = _record(99, 3, two.digest)
@@ -147,12 +147,12 @@
     assert fold.head.digest == winner.digest
 
 
-def test_head_taken_too_early_is_put_right_and_then_followed():
-    """An instance that joined after an outage keeps an old rival's limits.
+def test_head_applied_too_early_is_corrected_by_a_snapshot():
+    """Guards against a losing bundle that stays in force after an outage.
 
-    The log came back empty and the loser was appended again before the
-    winner's snapshot. The instance took the loser; the snapshot corrects it,
-    and the next version then applies in order.
+    The log is empty after the outage, and the loser is appended again before
+    the winner's snapshot. A new instance applies the loser. The snapshot
+    corrects the head, and the next version then applies in order.
     """
     one, two, winner, child = _chain(4)
     loser = _record(99, 3, two.digest)
@@ -168,9 +168,10 @@
 
 
 def test_sections_of_an_expired_parent_come_from_peers():
-    """A new instance never gets ready after a change of one account.
+    """Guards against a new instance that never becomes ready.
 
-    The log still holds the change but not the sections that it left out.
+    The log still contains a change of one account, but not the unchanged
+    sections, which the record leaves out.
     """
     table = {
         "models": {"dome-7b": {"layers": 8, "vocabulary": 512}},
@@ -189,11 +190,12 @@
     assert fold.missing is None
 
 
-def test_record_whose_sections_nobody_has_gives_way():
-    """A new instance waits for ever for sections that never existed.
+def test_record_whose_sections_no_peer_has_is_dropped():
+    """Guards against an endless wait for sections that never existed.
 
-    An operator's record left out a section that its parent did not have;
-    every other instance has rejected it, and so must one that cannot know.
+    An operator's record leaves out a section that its parent does not have.
+    All other instances have rejected it. An instance with a truncated history
+    can't tell, and drops the record once no peer has the section.
     """
     one, two = _chain(2)
     broken = make_record(
@@ -212,7 +214,7 @@
     assert fold.head.digest == two.digest
 
 
-def test_peers_head_is_taken_only_with_signatures_and_only_forward():
+def test_peer_head_is_applied_only_if_signed_and_newer():
     one, two = _chain(2)
     fold = _fold()
     forged = attrs.evolve(two, signatures=())
@@ -222,7 +224,7 @@
     assert fold.next_offset == 2
 
 
-def test_unchanged_account_sections_are_not_structured_again():
+def test_unchanged_account_sections_are_not_parsed_again():
     accounts = {f"a-{n}": {"key_hashes": []} for n in range(600)}
     table = {"client_accounts": accounts}
     fold = _fold()
--- a/caroblug/core/state/tests/test_fold_machine.py
+++ b/caroblug/core/state/tests/test_fold_machine.py
@@ -1,4 +1,4 @@
-"""Readers of a log that truncates, doubles and replays, all at once."""
+"""Tests of the bundle fold on a log with expiry, duplicates and replays."""
 
 import hypothesis
 from cryptography.hazmat.primitives.asymmetric.ed25519 import (
@@ -36,12 +36,11 @@
 
 
 class FoldMachine(RuleBasedStateMachine):
-    """Four readers and two operators against one log.
+    """State machine of four readers, several operators and one log.
 
-    `_truth` folds every append as it happens and so knows the order of the
-    log first-hand. The log keeps its promise of a snapshot: nothing expires
-    up to the last whole copy of the head unless all is dropped, after which
-    the running readers append theirs before anything else happens.
+    `_truth` folds every append at once and so knows the order of the log.
+    Records expire only up to the last complete copy of the head, unless all
+    records are lost. Then a running reader appends a snapshot first.
     """
 
     def __init__(self):
@@ -50,9 +49,9 @@
         self._start = 0
         self._truth = _make_fold()
         self._sent = []
-        self._copy = 0
+        self._last_copy_offset = 0
         self._readers = [_make_fold() for _ in range(_READERS)]
-        self._seen = [0] * _READERS
+        self._highest_versions = [0] * _READERS
         self._tables = 0
 
     def _append(self, data):
@@ -73,7 +72,7 @@
 
     @rule(racing=st.integers(1, 3), doubled=st.booleans())
     def publish(self, racing, doubled):
-        """Operators sign on the same head; answers are lost and resent."""
+        """Appends records on the same head; one may be appended twice."""
         records = [self._sign(self._truth.head) for _ in range(racing)]
         for record in records:
             self._sent.append(record)
@@ -86,14 +85,14 @@
     @precondition(lambda self: self._sent)
     @rule(which=st.integers(0, 1000))
     def replay(self, which):
-        """Somebody appends an old or losing record again."""
+        """Appends an old or losing record again."""
         record = self._sent[which % len(self._sent)]
         self._append(encode_record(record))
 
     @precondition(lambda self: self._truth.head)
     @rule(reader=st.integers(0, _READERS - 1))
     def append_snapshot(self, reader):
-        """A reader appends what it believes to be the head."""
+        """Appends a snapshot of a reader's head."""
         head = self._readers[reader].head
         if head is not None:
             self._snapshot(head, head.offset)
@@ -108,18 +107,18 @@
             head.record.signatures,
         )
         if head.digest == self._truth.head.digest:
-            self._copy = len(self._log)
+            self._last_copy_offset = len(self._log)
         self._append(encode_snapshot(Snapshot(whole, offset), _SNAPSHOT_KEY))
 
     @rule(share=st.floats(0, 1))
     def expire(self, share):
-        """Records expire, up to the last whole copy of the head."""
-        self._start = max(self._start, int(self._copy * share))
+        """Expires records up to the last complete copy of the head."""
+        self._start = max(self._start, int(self._last_copy_offset * share))
 
     @precondition(lambda self: self._truth.head)
     @rule()
     def outage_past_retention(self):
-        """The log comes back empty; a running reader appends its head."""
+        """Empties the log; a running reader appends its head."""
         self._start = len(self._log)
         self._snapshot(self._truth.head, self._truth.head.offset)
 
@@ -148,7 +147,7 @@
         reader=st.integers(0, _READERS - 1), peer=st.integers(0, _READERS - 1)
     )
     def hear(self, reader, peer):
-        """A reader hears another one's head."""
+        """Passes the head of one reader to another one."""
         theirs = self._readers[peer].head
         if theirs is None:
             return
@@ -162,17 +161,17 @@
     @rule(reader=st.integers(0, _READERS - 1))
     def crash(self, reader):
         self._readers[reader] = _make_fold()
-        self._seen[reader] = 0
+        self._highest_versions[reader] = 0
 
     @invariant()
-    def versions_never_fall(self):
+    def versions_never_decrease(self):
         for number, fold in enumerate(self._readers):
             version = fold.head.version if fold.head else 0
-            assert version >= self._seen[number]
-            self._seen[number] = version
+            assert version >= self._highest_versions[number]
+            self._highest_versions[number] = version
 
     @invariant()
-    def certain_readers_are_on_the_chain(self):
+    def heads_with_known_order_are_on_the_chain(self):
         for fold in self._readers:
             if fold.head is not None and fold.order_known:
                 truth = self._truth.head
--- a/caroblug/core/state/tests/test_intents.py
+++ b/caroblug/core/state/tests/test_intents.py
@@ -1,8 +1,9 @@
-"""Calls that may not be repeated: owners over a log that loses answers.
+"""Tests of calls that must run at most once, with an unreliable log.
 
-A caller books seats once and is charged twice, or is told "not run" and is
-charged all the same. Owners crash and pause at each step, two believe that
-they own a key, and the log's answers are lost, late or doubled.
+They guard against a call that runs twice, and against a call that runs after
+its caller got the response that it did not. Owners crash and pause at each
+step, two processes believe that they own a key, and appends to the log are
+lost, late or duplicated.
 """
 
 import attrs
@@ -32,12 +33,12 @@
 _OWNERS = 3
 _KEYS = [digest_parts(bytes([n])) for n in range(2)]
 _REQUESTS = [digest_parts(b"seats", bytes([n])) for n in range(2)]
-_BIG = 1000
+_READ_LIMIT = 1000
 
 
 @attrs.define
 class _Log:
-    """Records with the time of each, and appends that take effect late."""
+    """A log with record times, expiry and appends that take effect late."""
 
     start: int = 0
     records: list = attrs.field(factory=list)
@@ -57,18 +58,18 @@
 
 
 class _Owner:
-    """One owner process: the cores and what its greenlets hold."""
+    """An owner process: the fold, the owner and the state of its calls."""
 
     def __init__(self, writer):
         self.writer = writer
         self.fold = IntentFold()
         self.core = IntentOwner(writer, self.fold, _WINDOW_MS)
-        self.flying = None
+        self.appending = None
         self.won = {}
         self.running = {}
-        self.told_no = set()
+        self.reported_not_run = set()
 
-    def read(self, log, now_ms, limit=_BIG):
+    def read(self, log, now_ms, limit=_READ_LIMIT):
         self.fold.skip_to(log.start)
         first = self.fold.next_offset
         for offset in range(first, min(first + limit, log.end)):
@@ -83,18 +84,18 @@
             if one.verdict is Verdict.WON:
                 self.won[one.key] = one.id
             elif one.verdict is Verdict.GIVEN_UP:
-                self.told_no.add(one.id)
+                self.reported_not_run.add(one.id)
 
     def settle(self, log, now_ms):
-        """Reads back after an append, as the journal does."""
-        batch, self.flying = self.flying, None
+        """Reads the log back after an append, as the call journal does."""
+        batch, self.appending = self.appending, None
         self.read(log, now_ms)
         if not self.fold.has_batch(batch.writer, batch.sequence):
             self.take(self.core.on_append_failed())
 
 
 class Calls(stateful.RuleBasedStateMachine):
-    """Drives owners, the log and the time."""
+    """State machine of owners, a log and the time."""
 
     def __init__(self):
         super().__init__()
@@ -102,13 +103,13 @@
         self.log = _Log()
         self.lives = 0
         self.runs = {key: [] for key in _KEYS}
-        self.told_no = set()
+        self.reported_not_run = set()
         self.owners = [self._make_owner() for _ in range(_OWNERS)]
 
     def _make_owner(self):
         self.lives += 1
         owner = _Owner(f"owner-{self.lives}")
-        owner.told_no = self.told_no
+        owner.reported_not_run = self.reported_not_run
         return owner
 
     @stateful.rule(
@@ -133,13 +134,13 @@
     )
     def append(self, owner, written):
         at = self.owners[owner]
-        if at.flying is not None:
+        if at.appending is not None:
             return
-        at.flying = at.core.next_batch(self.now_ms)
-        if at.flying is None:
+        at.appending = at.core.next_batch(self.now_ms)
+        if at.appending is None:
             return
-        data = encode_batch(at.flying)
-        assert decode_batch(data) == at.flying
+        data = encode_batch(at.appending)
+        assert decode_batch(data) == at.appending
         if written in ("once", "twice"):
             self.log.append(self.now_ms, data)
         if written in ("late", "twice"):
@@ -152,7 +153,7 @@
         answered=st.booleans(),
     )
     def book(self, owner, key, written, answered):
-        """A whole call in one step, so that long histories are reached."""
+        """Runs a whole call in one step, so that long histories are covered."""
         self.send(owner, key, _REQUESTS[0], True)
         self.append(owner, written)
         self.settle(owner)
@@ -164,7 +165,7 @@
         owners=st.permutations(range(_OWNERS)), key=st.sampled_from(_KEYS)
     )
     def race(self, owners, key):
-        """One key at two owners at once, in two views of the membership."""
+        """Sends one key to two owners at once, as with differing views."""
         for owner in owners[:2]:
             self.send(owner, key, _REQUESTS[0], True)
             self.append(owner, "once")
@@ -174,7 +175,7 @@
 
     @stateful.rule(owner=st.integers(0, _OWNERS - 1))
     def settle(self, owner):
-        if self.owners[owner].flying is not None:
+        if self.owners[owner].appending is not None:
             self.owners[owner].settle(self.log, self.now_ms)
 
     @stateful.rule(owner=st.integers(0, _OWNERS - 1), limit=st.integers(1, 3))
@@ -194,9 +195,9 @@
         key, intent = at.won.popitem()
         if not at.core.begin(key, self.now_ms):
             at.core.cancel(key)
-            self.told_no.add(intent)
+            self.reported_not_run.add(intent)
             return
-        assert intent not in self.told_no
+        assert intent not in self.reported_not_run
         self.runs[key].append(self.now_ms)
         at.running[key] = intent
 
@@ -216,7 +217,7 @@
         if at.won:
             key, intent = at.won.popitem()
             at.core.cancel(key)
-            self.told_no.add(intent)
+            self.reported_not_run.add(intent)
 
     @stateful.rule(ms=st.sampled_from([1, 1, 50, 400, 1100, 1500, 3900, 4500]))
     def advance(self, ms):
@@ -228,14 +229,14 @@
         self.owners[owner] = self._make_owner()
 
     @stateful.invariant()
-    def runs_once_in_the_window(self):
+    def at_most_one_run_in_the_window(self):
         for times in self.runs.values():
             for earlier, later in zip(times, times[1:], strict=False):
                 assert later - earlier > _WINDOW_MS - _WITHIN_MS
 
     @stateful.invariant()
-    def readers_agree(self):
-        """Those who read from the same start to the same end agree."""
+    def folds_agree(self):
+        """Checks that folds of the same range of the log agree."""
         seen = {}
         for owner in self.owners:
             fold = owner.fold
@@ -248,7 +249,7 @@
                 assert known == state
 
     def teardown(self):
-        """What a living owner gave up does not hold its key for ever."""
+        """Checks that intents given up by live owners block no key."""
         while self.log.late:
             self.take_effect_late()
         for _ in range(3):
@@ -264,7 +265,7 @@
             if state is None or state.outcome is not None:
                 continue
             if state.id.writer in living:
-                assert state.id not in self.told_no
+                assert state.id not in self.reported_not_run
 
 
 Calls.TestCase.settings = hypothesis.settings(
@@ -274,16 +275,16 @@
 
 
 def _commit(owner, log, now_ms):
-    owner.flying = owner.core.next_batch(now_ms)
-    log.append(now_ms, encode_batch(owner.flying))
+    owner.appending = owner.core.next_batch(now_ms)
+    log.append(now_ms, encode_batch(owner.appending))
     owner.settle(log, now_ms)
 
 
 def test_paused_owner_does_not_call_after_its_deadline():
-    """A class is booked twice: once now, once when a paused process wakes.
+    """Guards against a second run of a call by an owner that was paused.
 
-    The owner is stopped between its intent and the call. The window passes,
-    another owner runs the key anew, and then the first one wakes up.
+    The owner is paused between its intent and the call. The window passes,
+    another owner runs the key again, and then the first one resumes.
     """
     log = _Log()
     paused, other = _Owner("paused"), _Owner("other")
@@ -300,11 +301,11 @@
     assert not paused.core.begin(_KEYS[0], _WINDOW_MS + 4)
 
 
-def test_second_owner_learns_the_answer_from_the_log():
-    """An application resends a booking after its owner's instance is gone.
+def test_second_owner_replays_the_answer_from_the_log():
+    """Guards against a second run of a call at a new owner.
 
-    The new owner reads the log from its oldest record and replays, rather
-    than booking again.
+    A caller resends a call after the instance of its owner has gone. The new
+    owner reads the log from its oldest record and replays the answer.
     """
     log = _Log()
     first, second = _Owner("first"), _Owner("second")
@@ -326,11 +327,11 @@
     assert recorded.entries == (outcome,)
 
 
-def test_key_is_forgotten_after_the_window():
-    """Memory of a long-lived owner grows without bound, key by key.
+def test_key_is_dropped_after_the_window():
+    """Guards against unbounded memory of a long-lived owner.
 
-    Each batch carries how far back its writer has known the log for the
-    whole window; what stands before that is dropped.
+    Each batch carries the offset before which its writer has known all records
+    for the whole window. Intents before that offset are dropped.
     """
     log = _Log()
     owner = _Owner("owner")
@@ -347,18 +348,19 @@
     assert len(owner.fold) <= _WINDOW_MS / 1000 + 2
 
 
-def test_append_that_takes_effect_late_holds_no_key():
-    """A booking stays "unknown" for half an hour though it never ran.
+def test_append_that_takes_effect_late_blocks_no_key():
+    """Guards against an undecided call that never ran.
 
-    An append times out, its caller is told "not run", and the log takes it
-    all the same, after the owner's next one.
+    An append times out and the caller gets the response that the call did not
+    run. The append then takes effect after the owner's next one. Without the
+    check of sequence numbers, the key would stay undecided for half an hour.
     """
     log = _Log()
     owner = _Owner("owner")
     owner.core.admit(0, _KEYS[0], _REQUESTS[0], _WITHIN_MS)
-    late = owner.flying = owner.core.next_batch(0)
+    late = owner.appending = owner.core.next_batch(0)
     owner.settle(log, 1)
-    assert owner.told_no == {late.entries[0].id}
+    assert owner.reported_not_run == {late.entries[0].id}
     _commit(owner, log, 2)
     log.append(3, encode_batch(late))
     owner.read(log, 3)
--- a/caroblug/core/state/tests/test_leases.py
+++ b/caroblug/core/state/tests/test_leases.py
@@ -1,8 +1,8 @@
-"""Leases of engines: side processes that pause, over a log that loses answers.
+"""Tests of engine leases with paused processes and lost log responses.
 
-An engine serves the wrong model after a change of configuration: an old side
-process, paused past its lease, wakes up and gives its last order, or two side
-processes believe at once that they may give orders.
+They guard against an engine that serves the wrong model after a configuration
+change. This happens if a side process resumes after its lease has ended and
+sends its last order, or if two side processes hold the lease at once.
 """
 
 import hypothesis
@@ -25,7 +25,7 @@
 
 
 class _Side:
-    """One side process; `drift` makes its clock run faster or slower."""
+    """A side process whose clock runs at the rate `drift`."""
 
     def __init__(self, name, drift):
         self.drift = drift
@@ -43,7 +43,7 @@
 
 
 class Leases(stateful.RuleBasedStateMachine):
-    """Drives side processes, the log, the time and two engines."""
+    """State machine of side processes, a log, the time and an engine."""
 
     def __init__(self):
         super().__init__()
@@ -82,7 +82,7 @@
         sides=st.permutations(range(_SIDES)),
     )
     def race(self, sides):
-        """Two successors that have waited out the same lease."""
+        """Appends the records of two successors of the same lease."""
         records = []
         for side in sides[:2]:
             at = self.sides[side]
@@ -112,20 +112,20 @@
 
     @stateful.rule(side=st.integers(0, _SIDES - 1))
     def check(self, side):
-        """The look at the clock; a pause may follow before the send."""
+        """Checks the lease; a pause may follow before the send."""
         at = self.sides[side]
         held = at.holder.next_step(at.clock(self.now_ms), 1)
         at.checked = held.number if isinstance(held, Held) else None
 
     @stateful.rule(side=st.integers(0, _SIDES - 1))
     def send(self, side):
-        """An order reaches an engine that checks numbers."""
+        """Delivers an order to an engine that checks fencing numbers."""
         number = self.sides[side].checked
         if number is not None:
             self.highest = max(self.highest, number)
 
     @stateful.invariant()
-    def one_may_order(self):
+    def at_most_one_holder(self):
         numbers = [
             at.holder.fencing_number(at.clock(self.now_ms)) for at in self.sides
         ]
@@ -145,10 +145,11 @@
 TestLeases = Leases.TestCase
 
 
-def test_paused_holder_may_not_order_when_it_wakes():
-    """A paused side process wakes up and orders the model of last week.
+def test_paused_holder_may_not_send_orders_after_its_term():
+    """Guards against orders from a side process that resumes after a pause.
 
-    Its term has passed by its own clock; the successor has a higher number.
+    Its term has passed by its own clock, and its successor has a higher
+    fencing number.
     """
     log = []
     paused, next_one = _Side("paused", 1.0), _Side("next", 1.0)
@@ -164,11 +165,11 @@
     assert paused.holder.fencing_number(waited_ms) is None
 
 
-def test_holder_with_an_old_bundle_does_not_order():
-    """An engine goes back to the layers of an hour ago, for a moment.
+def test_holder_with_an_old_bundle_does_not_send_orders():
+    """Guards against a temporary return to the layers of an old bundle.
 
-    A side process wakes up before it has read the newer bundle and finds the
-    lease free; whoever freed it had followed a newer bundle.
+    A side process resumes before it has read the newer bundle and finds the
+    lease free. The previous holder had applied the newer bundle.
     """
     log = []
     newer, old = _Side("newer", 1.0), _Side("old", 1.0)
--- a/caroblug/core/state/tests/test_membership.py
+++ b/caroblug/core/state/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Tests of the list joined with what is heard."""
+"""Tests of the membership from the instance list and connections."""
 
 from caroblug.core.state import Member, Membership, MemberView, rank_members
 
@@ -11,7 +11,7 @@
     return [m.instance for m in membership.view(now_ms).members]
 
 
-def test_instance_that_the_list_misses_is_known_by_its_connection():
+def test_instance_missing_from_the_list_is_known_by_its_connection():
     membership = Membership(_member("own"))
     membership.on_connected(_member("new"))
     membership.on_listed([_member("own")], [])
@@ -19,10 +19,11 @@
 
 
 def test_dead_instance_is_left_out_while_the_list_lags():
-    """Streams keep being sent to an instance that has died.
+    """Guards against new streams to an instance that has failed.
 
-    The list shows it for some seconds more. Its lost connection counts at
-    once; if the list still shows it later, it is tried again.
+    The list contains it for some seconds more. The lost connection takes
+    precedence at once. If the list still contains the instance after the
+    retry time, it is tried again.
     """
     membership = Membership(_member("own"), retry_ms=10_000)
     membership.on_listed([_member("own"), _member("dead")], [])
@@ -34,11 +35,11 @@
     assert _names(membership, 12_000) == ["own"]
 
 
-def test_leaving_instances_are_left_out_by_their_own_word_and_the_lists():
-    """New work reaches a server that is shutting down.
+def test_leaving_instances_are_left_out_by_their_report_or_by_the_list():
+    """Guards against new work for an instance that is shutting down.
 
-    It says so itself before the list shows it; the list may say so first
-    when operators withdraw it.
+    Its own report arrives before the list shows it. When operators withdraw
+    an instance, the list may show it first.
     """
     membership = Membership(_member("own"))
     listed = [_member("own"), _member("b"), _member("c")]
@@ -51,7 +52,7 @@
     assert _names(membership) == ["b", "c", "own"]
 
 
-def test_withdrawn_instance_learns_it_and_stays_in_its_own_view():
+def test_withdrawn_instance_is_flagged_and_stays_in_its_own_view():
     membership = Membership(_member("own"))
     membership.on_listed([_member("own")], ["own"])
     assert membership.withdrawn
@@ -59,10 +60,10 @@
 
 
 def test_views_that_differ_in_one_member_agree_on_nearly_all_keys():
-    """Two instances send the same account to different homes.
+    """Guards against different home entries for the same client account.
 
-    Their views differ while the list lags. Only keys whose first choice is
-    the member that one of them misses are placed differently.
+    Views differ while the list lags. Only the keys whose first choice is the
+    member that one view lacks may be placed differently.
     """
     members = [_member(f"m-{n}") for n in range(50)]
     view = MemberView(tuple(members))
--- a/caroblug/core/state/tests/test_snapshots.py
+++ b/caroblug/core/state/tests/test_snapshots.py
@@ -1,4 +1,4 @@
-"""Tests of when the head is appended again."""
+"""Tests of the snapshot schedule."""
 
 import random
 
@@ -13,10 +13,10 @@
 
 
 def test_snapshot_is_due_well_before_the_last_one_expires():
-    """All instances are replaced, and none finds a bundle in the log.
+    """Guards against a log without any bundle for new instances.
 
-    However late the last rank is, and though half of the retention passes
-    in an outage, the next snapshot comes before the last one expires.
+    Even the last rank's snapshot is due by half of the retention time. If an
+    outage delays it by up to the other half, the last one has not expired.
     """
     for seed in range(50):
         schedule = _schedule(seed)
@@ -25,7 +25,7 @@
         assert schedule.is_due(_RETENTION_MS / 2, 100)
 
 
-def test_one_reader_appends_and_the_others_see_it():
+def test_few_readers_append_in_each_period():
     schedules = [_schedule(seed) for seed in range(33)]
     for schedule in schedules:
         schedule.on_snapshot(0)
@@ -43,14 +43,14 @@
     assert 1 <= appends <= 3
 
 
-def test_snapshot_that_is_gone_is_replaced_at_once():
+def test_expired_snapshot_is_replaced_soon():
     schedule = _schedule()
     schedule.on_snapshot(0)
     schedule.on_snapshot_expired(1000)
     assert schedule.is_due(1000 + _PERIOD_MS / 16, 0)
 
 
-def test_failed_append_is_tried_again_soon():
+def test_failed_append_is_retried_soon():
     schedule = _schedule()
     schedule.on_snapshot(0)
     schedule.on_failure(_PERIOD_MS * 1.1)
