--- a/caroblug/core/access/_decisions.py
+++ b/caroblug/core/access/_decisions.py
@@ -61,7 +61,7 @@
     Args:
         configuration: Newest configuration; None before the first has been
             read. The request is then denied as `NOT_CONFIGURED`, because an
-            unknown path or key can't be told from a valid one.
+            unknown path or key can't be distinguished from a valid one.
         host: Host of the request, without the port.
         path: Path of the request, without the query.
         key: API key of the request, if it has one.
--- a/caroblug/core/limits/_fair_queue.py
+++ b/caroblug/core/limits/_fair_queue.py
@@ -168,7 +168,7 @@
         heapq.heappush(self._heap, (self._counters[account], account))
 
     def _drop_idle_counters(self) -> None:
-        """Drops counters of idle accounts that have no effect.
+        """Drops the counters of idle accounts that no longer have an effect.
 
         An account without a counter starts at the virtual time, so counters
         at or below it can go. When no item waits, the virtual time moves up
--- a/caroblug/core/limits/_shares.py
+++ b/caroblug/core/limits/_shares.py
@@ -237,7 +237,7 @@
     def touch(
         self, client_account: str, rule: AccountRule, now_ms: int
     ) -> None:
-        """Starts a record at the equal part for an account without one."""
+        """Creates a record with the equal part for an account without one."""
         if client_account in self._held:
             return
         grant = Grant(
@@ -348,7 +348,7 @@
         return True
 
     def refund(self, client_account: str, tokens: float) -> None:
-        """Returns tokens that a request has not used to the account."""
+        """Credits the account with tokens that a request has not used."""
         held = self._held[client_account]
         held.tokens += tokens
         held.used -= tokens
--- a/caroblug/core/limits/_suspicions.py
+++ b/caroblug/core/limits/_suspicions.py
@@ -64,7 +64,7 @@
 
 
 class Suspicions:
-    """Suspicions known to one instance, a bounded number of requests.
+    """Suspicions known to one instance, for a bounded number of requests.
 
     When the bound is reached, the record that was added first is dropped.
 
--- a/caroblug/core/limits/_windowed_retry_budget.py
+++ b/caroblug/core/limits/_windowed_retry_budget.py
@@ -14,7 +14,8 @@
 _RATIO_FRACTION = 0.85
 """Part of the ratio that is used. Callers' requests that never arrive here
 count towards the bound but not in this budget, which errs on the safe side.
-The rest is a margin for windows that begin between two of those used here."""
+The unused part is a margin for windows that begin between two of the windows
+counted here."""
 
 _EXTRA_FRACTION = 0.8
 """Part of the extra retries that is used; one more gateway may be starting."""
@@ -58,7 +59,13 @@
         self._services: dict[str, _Window] = collections.defaultdict(_Window)
 
     def set_bound(self, ratio: float, extra: float, window_ms: int) -> None:
-        """Changes the bound; what was counted so far stays counted."""
+        """Changes the bound and retains the counts.
+
+        Args:
+            ratio: Retries allowed per request.
+            extra: Extra retries allowed per window, for all gateways together.
+            window_ms: Length of the window.
+        """
         self._ratio = ratio
         self._extra = extra
         self._window_ms = window_ms
@@ -125,7 +132,7 @@
         self._services[service].borrowed.extend([end_ms] * count)
 
     def _refresh(self, service: str, now_ms: int) -> _Window:
-        """Returns the window of a service, without entries that are over."""
+        """Returns the window of a service, without expired entries."""
         window = self._services[service]
         since_ms = now_ms - self._window_ms
         while window.first_sends and window.first_sends[0] <= since_ms:
--- a/caroblug/core/limits/tests/test_account_weights.py
+++ b/caroblug/core/limits/tests/test_account_weights.py
@@ -18,7 +18,7 @@
     assert weights.on_stream("heavy", "stream-9", 1.0, 1.0) == 1.0
 
 
-def test_ended_streams_leave_nothing_behind():
+def test_ended_streams_leave_no_state():
     weights = AccountWeights()
     weights.on_stream("school-1", "stream-0", 0.5, 1.0)
     weights.on_end("stream-0")
--- a/caroblug/core/limits/tests/test_fair_queue.py
+++ b/caroblug/core/limits/tests/test_fair_queue.py
@@ -77,7 +77,7 @@
             since[pair] = collections.Counter()
 
 
-def test_idle_account_saves_nothing_up():
+def test_idle_account_accumulates_no_credit():
     """An account that was idle returns and starves the others.
 
     Its counter has not advanced while the others were served; it must start
@@ -94,7 +94,7 @@
     assert sum(item >= 0 for item in served) >= 4
 
 
-def test_counters_of_idle_accounts_are_forgotten():
+def test_counters_of_idle_accounts_are_dropped():
     queue = FairQueue()
     for number in range(18_000):
         queue.put(f"account-{number}", number, 1.0)
--- a/caroblug/core/placement/_load.py
+++ b/caroblug/core/placement/_load.py
@@ -11,9 +11,9 @@
     This gateway's own tokens are counted exactly. In a large fleet it receives
     reports from only some of the others, and extrapolates the rest from those,
     separately for the local data centre and for all remote ones. Nearly all
-    local gateways report, and they use the same engines as this one: one
-    common factor, raised by the few remote reports, would count the local load
-    several times over.
+    local gateways report, and they use the same engines as this one. Few remote
+    gateways report, so that a common factor for all would be high and would
+    count the local load several times over.
 
     Attributes:
         local_gateways: Gateways known in the local data centre, this one
