--- a/caroblug/gateway/_fleet.py
+++ b/caroblug/gateway/_fleet.py
@@ -482,7 +482,7 @@
         return self._states[name].pace
 
     def slow_engines_due(self, now_ms: int) -> list[str]:
-        """Returns slow engines that are due for a probe and schedules the next.
+        """Returns slow engines due for a probe and schedules their next one.
 
         Args:
             now_ms: Current time.
@@ -500,7 +500,7 @@
         return due
 
     def _with_slowdown(self, engine: Engine) -> Engine:
-        """Returns an engine whose step and read times include its slowdown."""
+        """Returns an engine whose time factors include its slowdown."""
         pace = self._states[engine.name].pace
         if pace <= 1.0:
             return engine
--- a/caroblug/gateway/_http_server.py
+++ b/caroblug/gateway/_http_server.py
@@ -165,8 +165,8 @@
         self._worker: gevent.Greenlet | None = None
         self._idle_since_ms = clock.now_ms()
         self._ended = False
-        now = limits()
-        self._reader = RequestReader(now.header_bytes, now.body_bytes)
+        initial = limits()
+        self._reader = RequestReader(initial.header_bytes, initial.body_bytes)
 
     @property
     def busy(self) -> bool:
@@ -273,7 +273,8 @@
         while self._queue:
             request = self._queue.popleft()
             reply = Reply(self._socket, request, self._closing())
-            # The response is dropped and the connection ends.
+            # A caller that has disconnected needs no response, and its
+            # connection ends.
             with contextlib.suppress(CallerDisconnectedError):
                 self._handler(request, reply)
             if not reply.reusable:
--- a/caroblug/gateway/_interfaces.py
+++ b/caroblug/gateway/_interfaces.py
@@ -160,7 +160,7 @@
     def renew_placement_lease(
         self, lease_ms: int
     ) -> PlacementLease | Unavailable:
-        """Joins the group or renews the membership and the lease that it has.
+        """Joins the group, or renews the membership and a lease held with it.
 
         The store grants the lease to one member of the group.
 
--- a/caroblug/gateway/_liveness.py
+++ b/caroblug/gateway/_liveness.py
@@ -35,12 +35,12 @@
 _CHECK_INTERVAL_S = 0.02
 _MANY_STREAMS = 4
 """Streams over an engine from which a short stall of all of them is enough to
-probe it. A single stream often pauses while the engine reads the prompt of
+probe it. A single stream often pauses while the engine prefills the prompt of
 another gateway's stream."""
 
 _STALL_MANY_MS = 60
-"""Stall of all streams over an engine that has many, in ms, after which it is
-probed."""
+"""Stall of all streams over an engine, in ms, after which it is probed if there
+are at least `_MANY_STREAMS`."""
 
 _STALL_FEW_MS = 120
 """The same for fewer streams. A pause of 200 ms makes a stream late."""
--- a/caroblug/gateway/_peers.py
+++ b/caroblug/gateway/_peers.py
@@ -29,8 +29,8 @@
 
 _EXCHANGE_INTERVAL_MS = 500
 """Interval between rounds. It is short compared with the two seconds of a
-stream whose load is reported, and with the time in which a changed
-configuration has to take effect."""
+stream, during which its load is reported, and with the time within which a
+changed configuration has to take effect."""
 
 _RECENT_EXCHANGE_MS = 300
 """Time since a peer's last message within which it is not contacted. An
@@ -43,9 +43,9 @@
 
 _MAX_REMOTE_PARTNERS = 1
 """Limit on remote peers among them, as long as there are enough local ones.
-Traffic between data centres costs money, and mostly the local engines are
-shared. One remote peer in each round still distributes a change to fifty
-gateways within two seconds."""
+Traffic between data centres costs money, and the engines that a gateway shares
+with others are mostly local. One remote peer in each round still distributes a
+change to fifty gateways within two seconds."""
 
 _MAX_READER_PARTNERS = 8
 """Peers contacted in each round by the first reader of the list in its data
@@ -332,7 +332,7 @@
         }
 
     def _has_different_list(self, message: dict) -> bool:
-        """Returns whether another gateway's list differs from the own one."""
+        """Returns whether another gateway's list differs from this one's."""
         return message["list_digest"] != self._context.fleet.listing.digest
 
     def _handle_answer(self, answer: dict, name: str) -> None:
@@ -374,7 +374,7 @@
         self._apply_suspects(message["suspects"])
         self._apply_engine_reports(message["told"])
         self._apply_leaving(message["leaving"])
-        # Gateways of the previous version don't report it.
+        # Gateways of the previous version don't send these two fields.
         self._apply_slowdowns(message.get("paces", {}))
         self._apply_unanswered_orders(message.get("unanswered", {}))
         self._apply_list_age(name, message)
@@ -497,7 +497,7 @@
         ]
 
     def is_acting_standby(self) -> bool:
-        """Returns whether this gateway acts as there is no lease holder.
+        """Returns whether this gateway replaces a missing lease holder.
 
         The standby is the first by name of the active gateways. It places
         layers once no lease holder has been seen for the holder timeout.
--- a/caroblug/gateway/_slowness.py
+++ b/caroblug/gateway/_slowness.py
@@ -17,8 +17,8 @@
 _CHECK_INTERVAL_S = 0.25
 _SUSPICIOUS_GAP_RATIO = 1.5
 """Ratio of a gap between events to the baseline gap from which an engine is
-probed. It is high enough for a data centre that takes over the streams of
-another one."""
+probed. It leaves a margin for the longer gaps in a data centre that takes over
+the streams of another one."""
 
 _BASELINE_WEIGHT = 0.03
 """Weight of one check in the moving average of the baseline gap. The baseline
--- a/caroblug/gateway/_store_watcher.py
+++ b/caroblug/gateway/_store_watcher.py
@@ -19,7 +19,7 @@
 _MAX_LIST_AGE_MS = 700
 """Age of the list of backend servers at which the first reader of a data centre
 reads it again. The other gateways receive it within half a second, so that
-requests stop going to leaving backend servers within two seconds. Each data
+requests stop going to draining backend servers within two seconds. Each data
 centre makes about 1.2 paid reads a second."""
 
 _MAX_FOLLOWER_LIST_AGE_MS = 1300
@@ -48,7 +48,8 @@
 is restarted."""
 
 _WAIT_PER_GATEWAY_MS = 1000
-"""Time between two ends of a wait, over all gateways except first readers."""
+"""Mean time between the ends of two waits, over all gateways except first
+readers."""
 
 _FOLLOWER_POLL_S = 0.05
 """Interval at which a gateway that doesn't read the configuration itself checks
--- a/caroblug/gateway/_stream_latency.py
+++ b/caroblug/gateway/_stream_latency.py
@@ -13,9 +13,9 @@
         began_ms: When the request arrived.
         first_ms: Time until the first event was forwarded; None before that.
         pause_ms: Longest pause between two forwarded events.
-        cause: Last incident before the first event. A pause that is the
-            longest so far replaces it by its own last incident, if it had
-            one. Empty if there was none.
+        cause: Last incident before the first event. The last incident in a
+            pause replaces it if the pause is the longest so far. Empty if
+            there was no incident.
         engine: The engine that the incident concerns; empty if none.
     """
 
--- a/caroblug/gateway/_stream_retry_policy.py
+++ b/caroblug/gateway/_stream_retry_policy.py
@@ -77,8 +77,8 @@
 
         Without this, a response would be cut because engines have no capacity,
         or no engine serves a layer, at one moment. A request whose response
-        hasn't begun is refused at once, since its caller may retry; a response
-        that has been cut may not be requested again.
+        hasn't begun is refused at once, since its caller can retry; a caller
+        whose response was cut might not.
 
         Returns:
             Whether to search for a path again.
--- a/caroblug/gateway/tests/test_liveness.py
+++ b/caroblug/gateway/tests/test_liveness.py
@@ -108,8 +108,8 @@
 
 
 def test_few_streams_must_stall_longer_than_many():
-    # A single stream often pauses while the engine reads the prompt of another
-    # gateway's stream.
+    # A single stream often pauses while the engine prefills the prompt of
+    # another gateway's stream.
     site = Site(FakeStream(100_000, "x"))
 
     site.clock.advance(100)
@@ -135,7 +135,7 @@
 
 
 def test_stalled_engine_that_accepts_connections_keeps_its_streams():
-    # Guards against moving streams off an engine that is reading a long prompt.
+    # Guards against moving streams off an engine during a long prefill.
     streams = [FakeStream(100_000, "x") for _ in range(5)]
     site = Site(*streams)
 
