--- a/caroblug/core/limits/_windowed_retry_budget.py
+++ b/caroblug/core/limits/_windowed_retry_budget.py
@@ -1,6 +1,6 @@
 """Retry budget over a sliding window, shared by several gateways.
 
-Several gateways keep one bound: each may retry a ratio of its own requests,
+Several gateways share one bound: each may retry a ratio of its own requests,
 plus an equal part of a number of extra retries. A gateway that has spent its
 part may borrow from others, so that a failure that affects few gateways can
 draw on the whole bound. Loans leave the sum of all parts unchanged: the lender
