--- a/caroblug/gateway/_compression.py
+++ b/caroblug/gateway/_compression.py
@@ -8,14 +8,16 @@
 import base64
 import zlib
 
-_LEVEL = 1
+_COMPRESSION_LEVEL = 1
 _MAX_TEXT_BYTES = 64 << 20
 """Limit on the size of a decompressed text."""
 
 
 def compress_text(text: str) -> str:
     """Returns a text compressed and encoded for use in JSON."""
-    return base64.b64encode(zlib.compress(text.encode(), _LEVEL)).decode()
+    return base64.b64encode(
+        zlib.compress(text.encode(), _COMPRESSION_LEVEL)
+    ).decode()
 
 
 class TextCompressor:
--- a/caroblug/gateway/_fleet.py
+++ b/caroblug/gateway/_fleet.py
@@ -41,8 +41,8 @@
 it meanwhile, so only a probe can show that it has recovered."""
 
 _SLOWDOWN_PROBE_JITTER_MS = 1000
-"""Random delay added to it, in ms, so that one gateway probes first and shares
-the result with the others."""
+"""Maximum random delay added to `_SLOWDOWN_PROBE_MS`, in ms, so that one
+gateway probes first and shares the result with the others."""
 
 _LISTING_LAG_MS = 1500
 """How much later than an engine's own report the listing must have been read
--- a/caroblug/gateway/_liveness.py
+++ b/caroblug/gateway/_liveness.py
@@ -43,12 +43,13 @@
 are at least `_MANY_STREAMS`."""
 
 _STALL_FEW_MS = 120
-"""The same for fewer streams. A pause of 200 ms makes a stream late."""
+"""Stall of all streams over an engine, in ms, after which it is probed if there
+are fewer than `_MANY_STREAMS`. A pause of 200 ms makes a stream late."""
 
 _STALL_GAPS = 2.0
-"""The same as a multiple of the streams' mean gap between events, if that is
-longer. Streams over a slow engine would otherwise look stalled between any two
-events."""
+"""Shortest stall that leads to a probe, as a multiple of the shortest mean gap
+between events. Streams over a slow engine would otherwise look stalled between
+any two events."""
 
 _PROBE_TIMEOUT_S = 0.04
 """Timeout of a probe, in s. The longest round trip inside a region takes about
--- a/caroblug/gateway/_peers.py
+++ b/caroblug/gateway/_peers.py
@@ -42,7 +42,7 @@
 them."""
 
 _MAX_REMOTE_PARTNERS = 1
-"""Limit on remote peers among them, as long as there are enough local ones.
+"""Remote peers contacted in each round, as long as there are enough local ones.
 Traffic between data centres costs money, and the engines that a gateway shares
 with others are mostly local. One remote peer in each round still distributes a
 change to fifty gateways within two seconds."""
--- a/caroblug/gateway/_placement.py
+++ b/caroblug/gateway/_placement.py
@@ -106,10 +106,11 @@
         of a holder it takes seconds until the store names the next one, while
         engines go on failing. So a holder whose renewal got no response remains
         active until a peer reports that it holds the lease, and a standby
-        replaces a holder that is gone. Neither needs an agreement, and two
-        gateways that are partitioned from each other may both be active. This
-        does no harm: each order contains the number of orders that the engine
-        has begun, so the engine accepts the first and rejects the second.
+        replaces a holder that has disappeared. Neither needs an agreement, and
+        two gateways that are partitioned from each other may both be active.
+        This does no harm: each order contains the number of orders that the
+        engine has begun, so the engine accepts the first and rejects the
+        second.
         """
         if self._stopped:
             return False
--- a/caroblug/gateway/_slowness.py
+++ b/caroblug/gateway/_slowness.py
@@ -25,8 +25,8 @@
 follows a change within ten seconds."""
 
 _SUSPICIOUS_WEIGHT = 0.002
-"""The same while the shortest gap is suspicious. A gap that persists becomes
-the baseline within minutes, so that probing ends."""
+"""Weight of one check while the shortest gap is suspicious. A gap that persists
+becomes the baseline within minutes, so that probing ends."""
 
 _MIN_PROBE_INTERVAL_MS = 2000
 """Minimum time between two probes of the same engine, in ms."""
--- a/caroblug/gateway/_store_watcher.py
+++ b/caroblug/gateway/_store_watcher.py
@@ -23,12 +23,12 @@
 centre makes about 1.2 paid reads a second."""
 
 _MAX_FOLLOWER_LIST_AGE_MS = 1300
-"""Age at which the other gateways read the list. They do so only if they don't
-receive it from a peer."""
+"""Age of the list at which gateways other than the first reader read it. They
+do so only if they don't receive it from a peer."""
 
 _LIST_JITTER_MS = 200
-"""Maximum random addition to these ages, so that gateways don't read at the
-same moment."""
+"""Maximum random addition to the age at which the list is read, so that the
+gateways don't read at the same moment."""
 
 _LIST_RETRY_MS = 900
 """Pause after a failed read of the list. Rejected calls cost money, too."""
--- a/caroblug/gateway/_stream_path_repair.py
+++ b/caroblug/gateway/_stream_path_repair.py
@@ -65,7 +65,7 @@
                 return ""
             if outcome is not OrderOutcome.CONFLICT:
                 break
-            # An engine that is new on the path is gone or has no capacity.
+            # An engine that is new on the path is unavailable or full.
             refused |= frozenset(path.names) - frozenset(state.path.names)
         return "part is lost, path not changed"
 
