--- a/caroblug/core/limits/__init__.py
+++ b/caroblug/core/limits/__init__.py
@@ -1,6 +1,6 @@
 """Account shares, fair queues, load limits, retry budgets and quarantine.
 
-Names are imported on first use: the gateway needs only three of them.
+Modules are imported on first use: the gateway needs only three of them.
 """
 
 from caroblug.lazy import make_lazy_exports
