--- a/caroblug/gateway/tests/test_store_watcher.py
+++ b/caroblug/gateway/tests/test_store_watcher.py
@@ -113,7 +113,7 @@
 
 
 def wait_for_version(context, version):
-    """Waits until a version is applied; without it the test never ends."""
+    """Waits until a version is applied; never returns if it is not."""
     while context.configuration.version < version:
         gevent.sleep(0.005)
 
@@ -154,7 +154,7 @@
 
 
 def test_hanging_read_does_not_delay_the_list(fast_watcher, monkeypatch):
-    # Guards against requests to leaving backend servers while a read of the
+    # Guards against requests to draining backend servers while a read of the
     # configuration hangs.
     monkeypatch.setattr(_store_watcher, "_READ_TIMEOUT_MS", 1_000_000)
     watcher, context, registry, _ = fast_watcher
@@ -175,7 +175,7 @@
     assert not watcher._read_list()
 
 
-def test_list_is_read_in_the_end_over_a_slow_link(fast_watcher):
+def test_list_is_eventually_read_over_a_slow_link(fast_watcher):
     # Guards against a read of the list that exceeds its timeout each time.
     watcher, _, registry, _ = fast_watcher
 
