--- a/caroblug/gateway/_store_watcher.py
+++ b/caroblug/gateway/_store_watcher.py
@@ -48,8 +48,8 @@
 is restarted."""
 
 _WAIT_PER_GATEWAY_MS = 1000
-"""Mean time between the ends of two waits, over all gateways except first
-readers."""
+"""Time between the ends of two waits, over all gateways except first readers,
+before bounds and jitter are applied."""
 
 _FOLLOWER_POLL_S = 0.05
 """Interval at which a gateway that doesn't read the configuration itself checks
