--- a/caroblug/gateway/_fleet.py
+++ b/caroblug/gateway/_fleet.py
@@ -41,8 +41,8 @@
 it meanwhile, so only a probe can show that it has recovered."""
 
 _SLOWDOWN_PROBE_JITTER_MS = 1000
-"""Random delay added to it, in ms, so that one gateway probes first and shares
-the result with the others."""
+"""Maximum random delay added to `_SLOWDOWN_PROBE_MS`, in ms, so that one
+gateway probes first and shares the result with the others."""
 
 _LISTING_LAG_MS = 1500
 """How much later than an engine's own report the listing must have been read
@@ -482,7 +482,7 @@
         return self._states[name].pace
 
     def slow_engines_due(self, now_ms: int) -> list[str]:
-        """Returns slow engines that are due for a probe and schedules the next.
+        """Returns slow engines due for a probe and schedules their next one.
 
         Args:
             now_ms: Current time.
@@ -500,7 +500,7 @@
         return due
 
     def _with_slowdown(self, engine: Engine) -> Engine:
-        """Returns an engine whose step and read times include its slowdown."""
+        """Returns an engine whose time factors include its slowdown."""
         pace = self._states[engine.name].pace
         if pace <= 1.0:
             return engine
--- a/caroblug/gateway/_slowness.py
+++ b/caroblug/gateway/_slowness.py
@@ -17,16 +17,16 @@
 _CHECK_INTERVAL_S = 0.25
 _SUSPICIOUS_GAP_RATIO = 1.5
 """Ratio of a gap between events to the baseline gap from which an engine is
-probed. It is high enough for a data centre that takes over the streams of
-another one."""
+probed. It leaves a margin for the longer gaps in a data centre that takes over
+the streams of another one."""
 
 _BASELINE_WEIGHT = 0.03
 """Weight of one check in the moving average of the baseline gap. The baseline
 follows a change within ten seconds."""
 
 _SUSPICIOUS_WEIGHT = 0.002
-"""The same while the shortest gap is suspicious. A gap that persists becomes
-the baseline within minutes, so that probing ends."""
+"""Weight of one check while the shortest gap is suspicious. A gap that persists
+becomes the baseline within minutes, so that probing ends."""
 
 _MIN_PROBE_INTERVAL_MS = 2000
 """Minimum time between two probes of the same engine, in ms."""
