--- a/caroblug/bundle/_log.py
+++ b/caroblug/bundle/_log.py
@@ -1,4 +1,4 @@
-"""The bundles on the log as an operator's tool sees them."""
+"""Reads bundles from the log and publishes records on it."""
 
 import time
 from collections.abc import Collection
@@ -21,17 +21,17 @@
 from caroblug.transport import LogService, LogUnavailable
 from caroblug.utils import Clock
 
-_RETRY_S = 0.3
-_LOOK_UPS = 3
+_RETRY_INTERVAL_S = 0.3
+_MAX_LOOK_UPS = 3
 
 
 @attrs.frozen
 class Accepted:
-    """The record came into force.
+    """The record became the head.
 
     Attributes:
-        version: Its version.
-        appends: How often it was appended; 0 if it was there before.
+        version: Version of the record.
+        appends: Number of times it was appended; 0 if the log already held it.
     """
 
     version: int
@@ -39,8 +39,8 @@
 
 
 @attrs.frozen
-class Beaten:
-    """Another record won.
+class Superseded:
+    """Another record became the head instead.
 
     Attributes:
         version: Version of the head.
@@ -52,11 +52,11 @@
 
 
 @attrs.frozen
-class Unknown:
-    """The log gave no answer in time.
+class Unconfirmed:
+    """The log service did not confirm the record within the timeout.
 
     Attributes:
-        message: What was seen last.
+        message: The last error.
         maybe_written: Whether the record may be in the log.
     """
 
@@ -65,12 +65,12 @@
 
 
 class BundleLog:
-    """Reads the bundles' stream and publishes on it.
+    """Reads the log's bundle stream and appends records to it.
 
     Args:
         log: The log service.
-        operators: Public keys whose signatures count.
-        signatures: How many of them a record needs.
+        operators: Public keys of the operators whose signatures count.
+        signatures: Number of valid signatures that a record needs.
         clock: Source of time.
     """
 
@@ -90,20 +90,28 @@
 
     @property
     def head(self) -> Head | None:
-        """The bundle in force, as of the last read."""
+        """The head as of the last read; None if there is none."""
         return self._fold.head
 
     @property
     def lacks_sections(self) -> bool:
-        """Whether the log no longer holds all of its newest bundle."""
+        """Whether the log lacks sections of its newest bundle."""
         return self._fold.missing is not None
 
     def table(self, digest: str) -> dict[str, Any] | None:
-        """Returns a bundle that was the head while the log was read."""
+        """Returns the bundle with a digest that was the head at some offset.
+
+        Returns:
+            The parsed bundle; None if no head with this digest was read.
+        """
         return self._tables.get(digest)
 
     def read(self) -> LogUnavailable | None:
-        """Reads on to the log's end."""
+        """Reads the log from the last read offset to its end.
+
+        Returns:
+            None, or the failure if the log service is unavailable.
+        """
         while True:
             page = self._log.read(BUNDLE_STREAM, self._fold.next_offset)
             if isinstance(page, LogUnavailable):
@@ -114,22 +122,23 @@
                 page.end_offset,
             )
             for outcome in outcomes:
-                self._note(outcome)
+                self._record_outcome(outcome)
             if page.next_offset >= page.end_offset:
                 return None
 
     def publish(
         self, record: BundleRecord, wait_ms: int
-    ) -> Accepted | Beaten | Rejected | Unknown:
-        """Appends a record and tells what became of it.
+    ) -> Accepted | Superseded | Rejected | Unconfirmed:
+        """Appends a record and returns whether it became the head.
 
-        An append whose answer is lost is looked up from the offset read so
-        far, by its digest, and appended again only if it is not there: the
-        log may have taken it.
+        The log may have accepted an append whose reply was lost. The record is
+        therefore looked up by its digest, from the offset read so far, and
+        appended again only if it is not found.
 
         Args:
             record: The signed record.
-            wait_ms: How long to try while the log gives no answer.
+            wait_ms: Maximum time to retry while the log service is
+                unavailable.
         """
         end_ms = self._clock.now_ms() + wait_ms
         appends = 0
@@ -154,27 +163,32 @@
                 message = outcome.message
                 maybe_written = maybe_written or outcome.maybe_written
             if self._clock.now_ms() >= end_ms:
-                return Unknown(message, maybe_written)
-            time.sleep(_RETRY_S)
+                return Unconfirmed(message, maybe_written)
+            time.sleep(_RETRY_INTERVAL_S)
 
     def _look_up(
         self, record: BundleRecord, maybe_written: bool
-    ) -> Accepted | Beaten | Rejected | LogUnavailable | None:
-        """Reads on; returns None if the record is to be appended."""
-        for attempt in range(_LOOK_UPS if maybe_written else 1):
+    ) -> Accepted | Superseded | Rejected | LogUnavailable | None:
+        """Reads new records and determines the outcome of the given one.
+
+        Returns:
+            The outcome, or the failure to read the log; None if the record
+            should be appended.
+        """
+        for attempt in range(_MAX_LOOK_UPS if maybe_written else 1):
             if attempt:
-                time.sleep(_RETRY_S)
+                time.sleep(_RETRY_INTERVAL_S)
             failed = self.read()
             if failed is not None:
                 return failed
-            verdict = self._verdict(record)
+            verdict = self._find_result(record)
             if verdict is not None:
                 return verdict
         return None
 
-    def _verdict(
+    def _find_result(
         self, record: BundleRecord
-    ) -> Accepted | Beaten | Rejected | None:
+    ) -> Accepted | Superseded | Rejected | None:
         version = self._accepted.get(record.digest)
         if version is not None:
             return Accepted(version, 0)
@@ -184,12 +198,12 @@
         head = self.head
         parent = head.digest if head else ""
         if record.parent != parent:
-            return Beaten(
+            return Superseded(
                 head.version if head else 0, head.digest if head else ""
             )
         return None
 
-    def _note(self, outcome: Outcome) -> None:
+    def _record_outcome(self, outcome: Outcome) -> None:
         if isinstance(outcome, Applied):
             head = outcome.head
             self._accepted[head.digest] = head.version
--- a/caroblug/entry/_admission.py
+++ b/caroblug/entry/_admission.py
@@ -18,7 +18,7 @@
 from caroblug.entry._shares import ShareClient
 from caroblug.entry._streams import StreamRequest
 from caroblug.entry._wait_estimator import WaitEstimator
-from caroblug.utils import Ran, RefusalType, Refused
+from caroblug.utils import ExecutionStatus, RefusalType, Refused
 
 _RETRY_AFTER_MS = 1000
 _TOKENS_RETRY_AFTER_MS = 10_000
@@ -109,7 +109,9 @@
         Returns:
             A permit to be closed when the request ends, or a refusal.
         """
-        quarantined = self._quarantine.refusal(request.fingerprint, Ran.NO)
+        quarantined = self._quarantine.refusal(
+            request.fingerprint, ExecutionStatus.NO
+        )
         if quarantined is not None:
             return quarantined
         overloaded = self._check_load(request, bundle)
@@ -181,7 +183,7 @@
             return None
         return self._refuse(
             RefusalType.OVERLOADED,
-            "the engines have no capacity for another stream",
+            "the engines are full",
         )
 
     def _reserve(
@@ -189,15 +191,13 @@
     ) -> Refused | None:
         name = request.client_account
         if not self._stream_slots.take():
-            return self._refuse(
-                RefusalType.OVERLOADED, "this instance has no free stream slots"
-            )
+            return self._refuse(RefusalType.OVERLOADED, "this instance is full")
         rule = make_account_rule(account)
         if not self._shares.acquire_stream(name, rule):
             self._stream_slots.release()
             return self._refuse(
                 RefusalType.LIMIT_REACHED,
-                f"the account already has {account.streams} open streams",
+                f"the account's {account.streams} streams are open already",
             )
         cost = (
             sharing.prompt_weight * len(request.prompt)
@@ -208,7 +208,7 @@
             self._stream_slots.release()
             return self._refuse(
                 RefusalType.LIMIT_REACHED,
-                "the account has used its tokens for this minute",
+                "the account's tokens for this minute are used",
                 _TOKENS_RETRY_AFTER_MS,
             )
         return None
--- a/caroblug/entry/_chain_picker.py
+++ b/caroblug/entry/_chain_picker.py
@@ -14,7 +14,7 @@
 )
 from caroblug.entry._directory import SideDirectory
 from caroblug.entry._stream_request import StreamRequest
-from caroblug.utils import Clock, Ran, RefusalType, Refused
+from caroblug.utils import Clock, ExecutionStatus, RefusalType, Refused
 
 _BROKEN_LINK_RETRY_MS = 5000
 _MAX_CHOICES = 4
@@ -132,8 +132,8 @@
             return None
         return Refused(
             RefusalType.DEADLINE_EXCEEDED,
-            "the deadline can't be met at the current load",
-            Ran.NO,
+            "the deadline can't be met at the present load",
+            ExecutionStatus.NO,
             missed.retry_after_ms,
         )
 
--- a/caroblug/gateway/_http_server.py
+++ b/caroblug/gateway/_http_server.py
@@ -165,8 +165,8 @@
         self._worker: gevent.Greenlet | None = None
         self._idle_since_ms = clock.now_ms()
         self._ended = False
-        now = limits()
-        self._reader = RequestReader(now.header_bytes, now.body_bytes)
+        initial = limits()
+        self._reader = RequestReader(initial.header_bytes, initial.body_bytes)
 
     @property
     def busy(self) -> bool:
@@ -273,7 +273,8 @@
         while self._queue:
             request = self._queue.popleft()
             reply = Reply(self._socket, request, self._closing())
-            # The response is dropped and the connection ends.
+            # A caller that has disconnected needs no response, and its
+            # connection ends.
             with contextlib.suppress(CallerDisconnectedError):
                 self._handler(request, reply)
             if not reply.reusable:
@@ -309,7 +310,7 @@
 
     Uses the socket that was opened while the program was loading, if any.
     """
-    early_socket = listening.take(address)
+    early_socket = listening.take_listener(address)
     if early_socket is None:
         return server.StreamServer(address, serve, backlog=listening.BACKLOG)
     return server.StreamServer(
--- a/caroblug/gateway/_store_watcher.py
+++ b/caroblug/gateway/_store_watcher.py
@@ -19,16 +19,16 @@
 _MAX_LIST_AGE_MS = 700
 """Age of the list of backend servers at which the first reader of a data centre
 reads it again. The other gateways receive it within half a second, so that
-requests stop going to leaving backend servers within two seconds. Each data
+requests stop going to draining backend servers within two seconds. Each data
 centre makes about 1.2 paid reads a second."""
 
 _MAX_FOLLOWER_LIST_AGE_MS = 1300
-"""Age at which the other gateways read the list. They do so only if they don't
-receive it from a peer."""
+"""Age of the list at which gateways other than the first reader read it. They
+do so only if they don't receive it from a peer."""
 
 _LIST_JITTER_MS = 200
-"""Maximum random addition to these ages, so that gateways don't read at the
-same moment."""
+"""Maximum random addition to the age at which the list is read, so that the
+gateways don't read at the same moment."""
 
 _LIST_RETRY_MS = 900
 """Pause after a failed read of the list. Rejected calls cost money, too."""
@@ -48,7 +48,8 @@
 is restarted."""
 
 _WAIT_PER_GATEWAY_MS = 1000
-"""Time between two ends of a wait, over all gateways except first readers."""
+"""Time between the ends of two waits, over all gateways except first readers,
+before bounds and jitter are applied."""
 
 _FOLLOWER_POLL_S = 0.05
 """Interval at which a gateway that doesn't read the configuration itself checks
--- a/caroblug/node/__init__.py
+++ b/caroblug/node/__init__.py
@@ -1,13 +1,13 @@
-"""What entry and side have in common: settings, bundles, lifetime."""
+"""Shared parts of entry and side: settings, bundles, HTTP and lifetime."""
 
 from caroblug.node._bundles import BUNDLE_STREAM, BundleFollower
 from caroblug.node._fleet import Fleet, make_fleet
 from caroblug.node._http import (
-    NodeHttp,
+    NodeHttpServer,
     NodeStatus,
     add_node_routes,
     add_status_route,
-    listen,
+    make_listener,
 )
 from caroblug.node._lifetime import Lifetime, run_program
 from caroblug.node._reference import describe_settings
@@ -19,13 +19,13 @@
     "BundleFollower",
     "Fleet",
     "Lifetime",
-    "NodeHttp",
+    "NodeHttpServer",
     "NodeSettings",
     "NodeStatus",
     "add_node_routes",
     "describe_settings",
     "add_status_route",
-    "listen",
+    "make_listener",
     "make_fleet",
     "run_program",
 ]
--- a/caroblug/node/_exchange.py
+++ b/caroblug/node/_exchange.py
@@ -1,4 +1,4 @@
-"""Adverts, fetches and sections between two instances."""
+"""Transfers bundle sections between two instances."""
 
 import collections
 
@@ -14,72 +14,76 @@
 )
 from caroblug.gen.wire import ttypes as wire
 
-_KNOWN_HEADS = 32
-_REPLY_BYTES = 1024 * 1024
+_MAX_REMEMBERED_HEADS = 32
+_MAX_REPLY_BYTES = 1024 * 1024
 
 
 class SectionServer:
-    """Answers peers that fetch from this instance's head.
+    """Serves the sections of this instance's head to peers.
 
-    It remembers which sections its last heads had, so that a peer that holds
-    one of them is sent only what has changed since.
+    Remembers which sections its last 32 heads had, so that a peer that has one
+    of them receives only the sections that changed since.
     """
 
     def __init__(self) -> None:
         self._head: Head | None = None
         self._bodies: dict[str, bytes] = {}
         self._record = b""
-        self._known: collections.OrderedDict[str, frozenset[str]] = (
+        self._hashes_by_digest: collections.OrderedDict[str, frozenset[str]] = (
             collections.OrderedDict()
         )
 
     def on_head(self, head: Head) -> None:
-        """Takes the head that is now in force."""
+        """Sets the head to serve."""
         self._head = head
         self._bodies = head.bodies()
         self._record = encode_record(head.record)
-        self._known[head.digest] = frozenset(self._bodies)
-        while len(self._known) > _KNOWN_HEADS:
-            self._known.popitem(last=False)
+        self._hashes_by_digest[head.digest] = frozenset(self._bodies)
+        while len(self._hashes_by_digest) > _MAX_REMEMBERED_HEADS:
+            self._hashes_by_digest.popitem(last=False)
 
     def answer(self, fetch: wire.BundleFetch) -> wire.BundleSections:
-        """Returns the head and what the peer lacks, a megabyte at most.
+        """Returns the reply to a peer's fetch.
 
-        A peer that does not get all asks for the rest by content hash.
+        A fetch of content hashes gets these sections. Any other fetch gets the
+        head's record and the sections that are not in the peer's base, if that
+        base is remembered. A reply is limited to 1 MiB of sections, but a
+        single larger section is sent whole. The peer fetches the rest by
+        content hash.
         """
         head = self._head
         if head is None:
             return wire.BundleSections(fetch.digest, 0, b"", {})
         if fetch.hashes:
-            wanted = fetch.hashes
+            requested = fetch.hashes
             record = b""
         else:
-            base = self._known.get(fetch.base or "")
-            wanted = () if base is None else self._bodies.keys() - base
+            base = self._hashes_by_digest.get(fetch.base or "")
+            requested = () if base is None else self._bodies.keys() - base
             record = self._record
         sections: dict[str, bytes] = {}
         size = 0
-        for key in wanted:
+        for key in requested:
             body = self._bodies.get(key)
             if body is None:
                 continue
             size += len(body)
-            if size > _REPLY_BYTES and sections:
+            if size > _MAX_REPLY_BYTES and sections:
                 break
             sections[key] = body
         return wire.BundleSections(head.digest, head.offset, record, sections)
 
 
 @attrs.define
-class Incoming:
-    """A head on its way from a peer.
+class IncomingHead:
+    """A head that is being fetched from a peer.
 
     Attributes:
-        peer: The peer.
-        held: Content hashes that this instance has already.
-        record: The record, once it is there.
-        offset: Where the peer says that it was accepted.
-        sections: What has come of its sections, by content hash.
+        peer: Name of the peer.
+        held: Content hashes of the sections that this instance already has.
+        record: The record; None until it is received.
+        offset: Log offset at which it was accepted, according to the peer.
+        sections: The sections received so far, by content hash.
     """
 
     peer: str
@@ -88,8 +92,12 @@
     offset: int = 0
     sections: dict[str, bytes] = attrs.field(factory=dict)
 
-    def take(self, message: wire.BundleSections) -> bool:
-        """Takes a part; returns whether it brought anything."""
+    def add_part(self, message: wire.BundleSections) -> bool:
+        """Adds a received message.
+
+        Returns:
+            Whether it contained a record or a valid section of this head.
+        """
         if message.record:
             record = decode_record(message.record)
             if record is None:
@@ -98,32 +106,32 @@
             self.offset = message.offset or 0
         if self.record is None or message.digest != self.record.digest:
             return False
-        checked = checked_sections(message.sections or {})
-        self.sections.update(checked)
-        return bool(checked) or bool(message.record)
+        valid_sections = select_valid_sections(message.sections or {})
+        self.sections.update(valid_sections)
+        return bool(valid_sections) or bool(message.record)
 
-    def lacking(self) -> list[str]:
-        """Returns the content hashes still to be asked for."""
+    def missing_hashes(self) -> list[str]:
+        """Returns the content hashes of the sections still to be fetched."""
         if self.record is None:
             return []
-        wanted = set(self.record.manifest.values())
-        return sorted(wanted - self.held - self.sections.keys())
+        required = set(self.record.manifest.values())
+        return sorted(required - self.held - self.sections.keys())
 
 
-def checked_sections(sections: dict[str, bytes]) -> dict[str, bytes]:
-    """Returns those sections that have the hash they are named by."""
+def select_valid_sections(sections: dict[str, bytes]) -> dict[str, bytes]:
+    """Returns the sections whose content matches the hash in their key."""
     return {k: v for k, v in sections.items() if section_hash(v) == k}
 
 
-def to_wire(advert: Advert) -> wire.BundleAdvert:
-    """Returns an advert as it is sent."""
+def advert_to_wire(advert: Advert) -> wire.BundleAdvert:
+    """Converts an advert to its wire format."""
     return wire.BundleAdvert(
         advert.version, advert.digest, advert.offset, advert.log_age_ms
     )
 
 
-def from_wire(advert: wire.BundleAdvert) -> Advert:
-    """Returns an advert that was received."""
+def advert_from_wire(advert: wire.BundleAdvert) -> Advert:
+    """Converts a received advert from its wire format."""
     return Advert(
         advert.version or 0,
         advert.digest or "",
--- a/caroblug/node/_http.py
+++ b/caroblug/node/_http.py
@@ -1,4 +1,4 @@
-"""The HTTP server of a program, with health and metrics."""
+"""HTTP server of entry and side, with health, metrics and status routes."""
 
 from collections.abc import Callable, Iterable, Iterator
 from typing import Any
@@ -11,22 +11,22 @@
 from caroblug.utils import Metrics
 
 _BACKLOG = 1024
-_METRICS_TYPE = "text/plain; version=0.0.4; charset=utf-8"
+_METRICS_CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
 
 
 @attrs.frozen
 class NodeStatus:
-    """What an instance says of itself.
+    """Status that an instance reports about itself on `/status`.
 
     Attributes:
-        instance: Its name.
+        instance: Name of the instance.
         version: Version of the bundle in force; 0 if none.
-        digest: Its digest.
-        in_force_ms: For how long it has been in force.
-        reader: Whether this instance reads the log.
-        members: How many members it knows.
-        ready: Whether it takes new work.
-        running: Requests that run here.
+        digest: Digest of the bundle in force; empty if none.
+        in_force_ms: Time since that bundle came into force.
+        reader: Whether this instance is a log reader.
+        members: Number of fleet members it knows.
+        ready: Whether it accepts new work.
+        running: Number of requests running on it.
     """
 
     instance: str
@@ -39,13 +39,13 @@
     running: int
 
 
-class _Health:
+class _HealthResource:
     def on_get(self, request: falcon.Request, response: falcon.Response):
         del request
         response.media = {"status": "ok"}
 
 
-class _Ready:
+class _ReadinessResource:
     def __init__(self, ready: Callable[[], bool]) -> None:
         self._ready = ready
 
@@ -58,32 +58,40 @@
         )
 
 
-class _MetricsText:
+class _MetricsResource:
     def __init__(self, metrics: Metrics) -> None:
         self._metrics = metrics
 
     def on_get(self, request: falcon.Request, response: falcon.Response):
         del request
         response.data = self._metrics.expose()
-        response.content_type = _METRICS_TYPE
+        response.content_type = _METRICS_CONTENT_TYPE
 
 
 def add_node_routes(
     app: falcon.App, metrics: Metrics, ready: Callable[[], bool]
 ) -> None:
-    """Adds `/healthz`, `/readyz` and `/metrics`."""
-    app.add_route("/healthz", _Health())
-    app.add_route("/readyz", _Ready(ready))
-    app.add_route("/metrics", _MetricsText(metrics))
-    app.add_error_handler(AssertionError, _stop)
+    """Adds the routes `/healthz`, `/readyz` and `/metrics`.
 
+    An AssertionError in any handler of the application ends the process.
 
-def _stop(request, response, error, params) -> None:
+    Args:
+        app: The application.
+        metrics: Metrics to expose.
+        ready: Returns whether the instance accepts new work.
+    """
+    app.add_route("/healthz", _HealthResource())
+    app.add_route("/readyz", _ReadinessResource(ready))
+    app.add_route("/metrics", _MetricsResource(metrics))
+    app.add_error_handler(AssertionError, _handle_broken_invariant)
+
+
+def _handle_broken_invariant(request, response, error, params) -> None:
     del request, response, params
     report_broken_invariant(error)
 
 
-class _Status:
+class _StatusResource:
     def __init__(self, status: Callable[[], NodeStatus]) -> None:
         self._status = status
 
@@ -93,19 +101,19 @@
 
 
 def add_status_route(app: falcon.App, status: Callable[[], NodeStatus]) -> None:
-    """Adds `/status`, which `caroblug-bundle` reads."""
-    app.add_route("/status", _Status(status))
+    """Adds the route `/status`, which `caroblug-bundle` reads."""
+    app.add_route("/status", _StatusResource(status))
 
 
-class _Handler(pywsgi.WSGIHandler):
-    """Sends small pieces by one call.
+class _DirectSendHandler(pywsgi.WSGIHandler):
+    """Sends small chunks with a single `send` call.
 
-    `sendall` of a gevent socket asks the kernel for the buffer's size and
-    cuts the data each time, which doubles the cost of a streamed token.
+    `sendall` of a gevent socket queries the kernel's buffer size and slices
+    the data on each call, which doubles the cost of a streamed token.
     """
 
     def _sendall(self, data: bytearray) -> None:
-        """Sends a piece; what does not fit or fails is left to gevent."""
+        """Sends a chunk; falls back to gevent for a partial or failed send."""
         try:
             sent = self.socket.send(data)
         except OSError:
@@ -115,34 +123,39 @@
             super()._sendall(data[sent:])
 
 
-class _Counted:
-    """Counts the requests that are not wholly answered yet.
+class _InFlightCounter:
+    """Counts the requests whose response is not complete yet.
 
-    Guards against an instance that exits while a request is only about to
-    become work: it may still wait for its turn at its account's home, and no
-    stream or call of it is to be seen elsewhere.
+    Guards against an instance that exits before a request has opened a stream
+    or a call. Such a request, for example one that is queued at its account's
+    home entry, is visible nowhere else.
     """
 
     def __init__(self, app: falcon.App) -> None:
         self._app = app
         self.in_flight = 0
 
-    def __call__(self, environ: dict, start_response: Any) -> "_CountedBody":
+    def __call__(
+        self, environ: dict, start_response: Any
+    ) -> "_CountedResponseBody":
         self.in_flight += 1
         try:
             body = self._app(environ, start_response)
         except BaseException:
             self.in_flight -= 1
             raise
-        return _CountedBody(body, self)
+        return _CountedResponseBody(body, self)
+
 
+class _CountedResponseBody:
+    """Response body that ends the request's count when it is closed.
 
-class _CountedBody:
-    """The body of an answer; the server closes it once all is sent."""
+    The server closes it after the last chunk is sent.
+    """
 
-    def __init__(self, body: Iterable[bytes], counted: _Counted) -> None:
+    def __init__(self, body: Iterable[bytes], owner: _InFlightCounter) -> None:
         self._body = body
-        self._counted = counted
+        self._owner = owner
         self._closed = False
 
     def __iter__(self) -> Iterator[bytes]:
@@ -152,56 +165,56 @@
         if self._closed:
             return
         self._closed = True
-        self._counted.in_flight -= 1
+        self._owner.in_flight -= 1
         close = getattr(self._body, "close", None)
         if close is not None:
             close()
 
 
-class NodeHttp:
-    """A WSGI server of one program.
+class NodeHttpServer:
+    """WSGI server that counts the requests in flight.
 
     Args:
         host: IP address to listen on.
-        port: Port.
+        port: TCP port to listen on.
         app: The application.
     """
 
     def __init__(self, host: str, port: int, app: falcon.App) -> None:
-        self._app = _Counted(app)
+        self._app = _InFlightCounter(app)
         self._server = pywsgi.WSGIServer(
-            listen(host, port),
+            make_listener(host, port),
             self._app,
             log=None,
             error_log=None,
-            handler_class=_Handler,
+            handler_class=_DirectSendHandler,
             spawn=pool.Pool(),
         )
 
     @property
     def in_flight(self) -> int:
-        """Requests that are not wholly answered yet."""
+        """Number of requests whose response is not complete yet."""
         return self._app.in_flight
 
     def start(self) -> None:
-        """Starts to accept."""
+        """Starts accepting connections."""
         self._server.start()
 
     def stop(self) -> None:
-        """Stops to accept and lets the last answers reach their callers.
+        """Stops accepting connections and waits up to 1 s for open responses.
 
-        Guards against an answer that is cut although its work is done: the
-        server waits only for handlers that run in a pool of its own.
+        Guards against a response that is cut although its work is done. The
+        server waits only for handlers in its own pool, so it is given one.
         """
         self._server.stop(timeout=1)
 
 
-def listen(host: str, port: int) -> socket.socket:
-    """Returns a listening socket whose connections send at once.
+def make_listener(host: str, port: int) -> socket.socket:
+    """Returns a listening socket whose connections send without delay.
 
-    Guards against a streamed token that waits for the caller's delayed
-    acknowledgement of the one before it (40 ms on Linux): accepted sockets
-    take over TCP_NODELAY from the listener.
+    Accepted sockets inherit TCP_NODELAY from the listener. Without it, a
+    streamed token waits for the caller's delayed acknowledgement of the
+    previous one (40 ms on Linux).
     """
     listener = socket.socket()
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
--- a/caroblug/node/_lifetime.py
+++ b/caroblug/node/_lifetime.py
@@ -1,4 +1,4 @@
-"""The lifetime of a program: settings, signals, draining, exit codes."""
+"""Program lifetime: command line, signals, draining and exit codes."""
 
 import argparse
 import os
@@ -25,19 +25,19 @@
 
 EXIT_OK = 0
 EXIT_USAGE = 2
-EXIT_BROKEN = 70
-_DRAIN_POLL_S = 0.05
-_LATE_MS = 20_000
-_LATE_EVERY_MS = 1000
+EXIT_INVARIANT_BROKEN = 70
+_DRAIN_POLL_INTERVAL_S = 0.05
+_LATE_PHASE_MS = 20_000
+_LATE_CALLBACK_INTERVAL_MS = 1000
 
 
 class Lifetime:
-    """Whether the program is running, draining or done.
+    """Tracks whether the program is running or draining.
 
     Args:
         clock: Source of time.
-        drain_ms: How long running work may take after SIGTERM.
-        linger_ms: Shortest time from SIGTERM to the exit.
+        drain_ms: Maximum time for running work to finish after SIGTERM.
+        linger_ms: Minimum time from SIGTERM to the exit.
     """
 
     def __init__(self, clock: Clock, drain_ms: int, linger_ms: int = 0) -> None:
@@ -45,79 +45,80 @@
         self._drain_ms = drain_ms
         self._linger_ms = linger_ms
         self._leaving = event.Event()
-        self._left_ms = 0
+        self._drain_start_ms = 0
 
     @property
     def leaving(self) -> bool:
-        """Whether a stop was asked for."""
+        """Whether the drain has begun."""
         return self._leaving.is_set()
 
     @property
     def accepting(self) -> bool:
-        """Whether callers' requests are still taken.
+        """Whether callers' requests are still accepted.
 
-        Guards against requests that the balancer sends to an instance which
-        has just said that it is no longer ready: it learns that late.
+        They are accepted for `linger_ms` after the drain has begun, because
+        the load balancer notices late that the instance is not ready and
+        still sends it requests.
         """
         if not self.leaving:
             return True
-        return self._clock.now_ms() - self._left_ms < self._linger_ms
+        return self._clock.now_ms() - self._drain_start_ms < self._linger_ms
 
-    def install(self) -> None:
-        """Lets SIGTERM and SIGINT begin the drain."""
+    def install_signal_handlers(self) -> None:
+        """Makes SIGTERM and SIGINT begin the drain."""
         gevent.signal_handler(signal.SIGTERM, self.leave)
         gevent.signal_handler(signal.SIGINT, self.leave)
 
     def leave(self) -> None:
-        """Begins the drain."""
+        """Begins the drain; has no effect if it has already begun."""
         if not self.leaving:
             log_state("program.leaving")
-            self._left_ms = self._clock.now_ms()
+            self._drain_start_ms = self._clock.now_ms()
             self._leaving.set()
 
     def wait(
         self,
-        on_leave: Callable[[], None],
+        on_drain_start: Callable[[], None],
         busy: Callable[[], bool],
-        on_late: Callable[[], None] | None = None,
+        on_late_drain: Callable[[], None] | None = None,
     ) -> None:
         """Blocks until the program has drained.
 
         Args:
-            on_leave: Called once when the drain begins.
-            busy: Tells whether work is still running.
-            on_late: Called now and then once the end of the drain is near
-                and work is still running.
+            on_drain_start: Called once when the drain begins.
+            busy: Returns whether work is still running.
+            on_late_drain: Called every second in the last 20 s of the drain
+                time, or in its last half if that is shorter, while work is
+                still running.
         """
         self._leaving.wait()
-        on_leave()
-        end_ms = self._left_ms + self._drain_ms
-        late_ms = end_ms - min(self._drain_ms // 2, _LATE_MS)
+        on_drain_start()
+        end_ms = self._drain_start_ms + self._drain_ms
+        next_late_ms = end_ms - min(self._drain_ms // 2, _LATE_PHASE_MS)
         while self.accepting or busy():
             now_ms = self._clock.now_ms()
             if now_ms >= end_ms:
                 break
-            if on_late is not None and now_ms >= late_ms:
-                on_late()
-                late_ms = now_ms + _LATE_EVERY_MS
-            gevent.sleep(_DRAIN_POLL_S)
+            if on_late_drain is not None and now_ms >= next_late_ms:
+                on_late_drain()
+                next_late_ms = now_ms + _LATE_CALLBACK_INTERVAL_MS
+            gevent.sleep(_DRAIN_POLL_INTERVAL_S)
         log_state("program.stopped", cut_short=busy())
 
 
 def stop_on_broken_invariant() -> None:
-    """Lets an exception that ends a greenlet stop the process.
+    """Ends the process when an uncaught exception ends a greenlet.
 
-    Guards against a greenlet that dies alone: gevent would print the trace
-    and the process would go on without its watch or with a state known to be
-    wrong, and look alive. Failures that are expected are values and never
-    end a greenlet.
+    By default gevent prints the traceback and the process continues without
+    that greenlet or with an inconsistent state, while it looks healthy.
+    Expected failures are returned as values and never end a greenlet.
     """
     hub = gevent.get_hub()
     handle_error = hub.handle_error
 
     def _handle_error(context, kind, value, trace) -> None:
-        ends = isinstance(context, gevent.Greenlet)
-        if ends and kind is not None and issubclass(kind, Exception):
+        ends_greenlet = isinstance(context, gevent.Greenlet)
+        if ends_greenlet and kind is not None and issubclass(kind, Exception):
             report_broken_invariant(value)
         handle_error(context, kind, value, trace)
 
@@ -125,11 +126,11 @@
 
 
 def report_broken_invariant(error: BaseException) -> None:
-    """Logs the trace of a broken invariant and ends the process."""
+    """Logs the traceback of a broken invariant and ends the process."""
     trace = "".join(traceback.format_exception(error))
     log_state("invariant.broken", trace=trace)
     sys.stderr.flush()
-    os._exit(EXIT_BROKEN)
+    os._exit(EXIT_INVARIANT_BROKEN)
 
 
 def run_program(
@@ -139,15 +140,15 @@
     serve: Callable[[_T], None],
     arguments: list[str] | None = None,
 ) -> int:
-    """Parses the command line, checks the settings and serves.
+    """Parses the command line, checks the settings and runs the server.
 
     Args:
         name: Name of the program.
-        description: One line for `--help`.
-        settings_class: The attrs class of its settings.
-        serve: Runs until the program has drained.
-        arguments: The command line without the program; None takes the
-            process's own.
+        description: One-line description for `--help`.
+        settings_class: The attrs class of the program's settings.
+        serve: Runs the server and returns once the program has drained.
+        arguments: Command-line arguments without the program name; None for
+            those of the process.
 
     Returns:
         The exit code.
@@ -157,7 +158,7 @@
     parser.add_argument(
         "--check-config",
         action="store_true",
-        help="check the settings, say what is wrong with them, and exit",
+        help="check the settings, print every problem, and exit",
     )
     parser.add_argument(
         "--version", action="version", version=caroblug.__version__
--- a/caroblug/node/_snapshots.py
+++ b/caroblug/node/_snapshots.py
@@ -1,4 +1,4 @@
-"""Appends the head again before its records expire."""
+"""Appends snapshots of the head to the log before its records expire."""
 
 import random
 
@@ -18,20 +18,20 @@
 from caroblug.transport import LogService, LogUnavailable
 from caroblug.utils import Clock, Metrics, log_state
 
-_TICK_S = 0.2
+_TICK_INTERVAL_S = 0.2
 
 
-class SnapshotKeeper:
-    """Keeps a whole copy of the head in the log.
+class SnapshotWriter:
+    """Keeps a complete copy of the head in the log.
 
     Args:
         log: The log service.
-        bundles: Where the head is known.
-        members: The view of the members.
+        bundles: Tracks the head.
+        members: The current members of the fleet.
         clock: Source of time.
-        metrics: Where appends are counted.
-        key: Key that proves a snapshot.
-        retention_ms: How long the log keeps a record.
+        metrics: Counts appended snapshots.
+        key: Key that authenticates a snapshot.
+        retention_ms: Time for which the log retains a record.
         rng: Source of jitter.
     """
 
@@ -53,55 +53,58 @@
         self._metrics = metrics
         self._key = key
         self._schedule = SnapshotSchedule(retention_ms, rng, clock.now_ms())
-        self._seen: int | None = None
+        self._newest_offset: int | None = None
         self._caught_up = False
 
     def run(self) -> None:
-        """Keeps it for ever."""
+        """Checks and appends snapshots until the process ends."""
         while True:
-            gevent.sleep(_TICK_S)
-            self._note_snapshot()
+            gevent.sleep(_TICK_INTERVAL_S)
+            self._track_snapshot()
             self._caught_up = self._bundles.at_log_end
             head = self._bundles.head
             if head is None or not self._bundles.is_reader:
                 continue
             now_ms = self._clock.now_ms()
             if self._schedule.should_check(now_ms):
-                self._check()
+                self._verify_snapshot()
             now_ms = self._clock.now_ms()
             may_be_due = self._schedule.is_due(now_ms, 0)
-            if may_be_due and self._schedule.is_due(now_ms, self._rank(head)):
-                self._append(head)
+            if may_be_due and self._schedule.is_due(
+                now_ms, self._rank_among_readers(head)
+            ):
+                self._append_snapshot(head)
 
-    def _note_snapshot(self) -> None:
-        """Starts the schedule anew for a snapshot that has just come.
+    def _track_snapshot(self) -> None:
+        """Restarts the schedule when a new snapshot appears in the log.
 
-        One that was in the log before this instance says nothing about when
-        it expires.
+        A snapshot from before this instance reached the end of the log does
+        not restart it, because its age, and so its expiry, is unknown.
         """
         offset = self._bundles.fold.snapshot_offset
-        if offset == self._seen:
+        if offset == self._newest_offset:
             return
-        self._seen = offset
+        self._newest_offset = offset
         if self._caught_up:
             self._schedule.on_snapshot(self._clock.now_ms())
 
-    def _check(self) -> None:
-        """Looks whether the newest snapshot is still in the log.
+    def _verify_snapshot(self) -> None:
+        """Checks that the newest snapshot is still in the log.
 
-        Guards against a log that has dropped more than it should, or an
-        outage longer than its retention: the snapshot is then due at once.
+        It may be missing if the log dropped records too early or after an
+        outage longer than its retention. A new one is then due after a short
+        jitter.
         """
-        if self._seen is None:
+        if self._newest_offset is None:
             return
-        found = self._log.read(BUNDLE_STREAM, self._seen, limit=1)
+        found = self._log.read(BUNDLE_STREAM, self._newest_offset, limit=1)
         if isinstance(found, LogUnavailable):
             return
-        if not found.records or found.records[0].offset != self._seen:
-            log_state("bundle.snapshot_gone", offset=self._seen)
+        if not found.records or found.records[0].offset != self._newest_offset:
+            log_state("bundle.snapshot_gone", offset=self._newest_offset)
             self._schedule.on_snapshot_expired(self._clock.now_ms())
 
-    def _append(self, head: Head) -> None:
+    def _append_snapshot(self, head: Head) -> None:
         record = attrs.evolve(head.record, sections=head.bodies())
         data = encode_snapshot(Snapshot(record, head.offset), self._key)
         outcome = self._log.append(BUNDLE_STREAM, data)
@@ -112,7 +115,7 @@
         self._metrics.count("bundle_snapshots", outcome="appended")
         self._schedule.on_snapshot(self._clock.now_ms())
 
-    def _rank(self, head: Head) -> int:
+    def _rank_among_readers(self, head: Head) -> int:
         view = self._members.view
         readers = [
             member
--- a/caroblug/side/_plain.py
+++ b/caroblug/side/_plain.py
@@ -1,4 +1,4 @@
-"""Calls of a plain service through its side process."""
+"""Calls to a plain HTTP service, made by its side process."""
 
 import abc
 from collections.abc import Callable
@@ -15,43 +15,43 @@
     JsonHttpClient,
     request_once,
 )
-from caroblug.utils import Metrics, Ran, RefusalType
+from caroblug.utils import ExecutionStatus, Metrics, RefusalType
 
 _RETRY_AFTER_MS = 500
-_PATH_SAFE = "%/?:@!$&'()*+,;=~-._[]"
-_HOP_HEADERS = frozenset(
+_PATH_SAFE_CHARACTERS = "%/?:@!$&'()*+,;=~-._[]"
+_HOP_BY_HOP_HEADERS = frozenset(
     {"connection", "keep-alive", "transfer-encoding", "content-length", "host"}
 )
 
 
 class PlainCaller(abc.ABC):
-    """Answers calls of a plain service."""
+    """Interface for making calls to a plain service."""
 
     @property
     def pending(self) -> int:
-        """What must still be written before the process may end."""
+        """Number of records to write before the process may exit."""
         return 0
 
     def start(self) -> None:
-        """Starts what the caller needs in the background."""
+        """Starts background work."""
         return
 
     def on_rule(self, rule: ServiceRule) -> None:
-        """Takes the service's rule from a new bundle."""
+        """Applies the rule of the service from a new bundle."""
         del rule
 
     @abc.abstractmethod
     def call(self, call: wire.PlainCall) -> wire.PlainReply:
-        """Runs a call and returns its answer or refusal; may block."""
+        """Runs a call and returns its reply or a refusal; may block."""
 
 
 class DirectCaller(PlainCaller):
-    """Passes each call to the service.
+    """Sends each call to the service.
 
     Args:
         host: IP address of the service.
-        port: Its port.
-        timeout_ms: How long a call may take.
+        port: Port of the service.
+        timeout_ms: Timeout of a call.
     """
 
     def __init__(self, host: str, port: int, timeout_ms: int) -> None:
@@ -61,37 +61,38 @@
         self._client = JsonHttpClient(host, port, timeout_ms, connections=64)
 
     def call(self, call: wire.PlainCall) -> wire.PlainReply:
-        """Runs a call and returns its answer or refusal."""
+        """Runs a call and returns its reply or a refusal."""
         if not call.repeatable:
-            return self.call_once(call, lambda: True)
-        answer = self._client.request(
-            call.method, call.path, call.body or b"", _headers_of(call)
+            return self.call_at_most_once(call, lambda: True)
+        response = self._client.request(
+            call.method, call.path, call.body or b"", _make_headers(call)
         )
-        return _make_reply(call, answer)
+        return _make_reply(call, response)
 
-    def call_once(
+    def call_at_most_once(
         self, call: wire.PlainCall, may_send: Callable[[], bool]
     ) -> wire.PlainReply:
         """Runs a call that must not reach the service twice.
 
         Args:
             call: The call.
-            may_send: Asked right before the first byte leaves.
+            may_send: Called right before the first byte is sent. The call is
+                made only if it returns True.
         """
-        answer = request_once(
+        response = request_once(
             self._host,
             self._port,
             min(self._timeout_ms, call.deadline_ms or self._timeout_ms),
             call.method,
-            parse.quote(call.path, safe=_PATH_SAFE),
+            parse.quote(call.path, safe=_PATH_SAFE_CHARACTERS),
             call.body or b"",
-            _headers_of(call),
+            _make_headers(call),
             may_send,
         )
-        return _make_reply(call, answer)
+        return _make_reply(call, response)
 
 
-def _headers_of(call: wire.PlainCall) -> dict[str, str]:
+def _make_headers(call: wire.PlainCall) -> dict[str, str]:
     headers = {h.name: h.value for h in call.headers or ()}
     if call.key:
         headers["Idempotency-Key"] = call.key
@@ -99,24 +100,24 @@
 
 
 def _make_reply(
-    call: wire.PlainCall, answer: HttpResponse | HttpFailure
+    call: wire.PlainCall, response: HttpResponse | HttpFailure
 ) -> wire.PlainReply:
-    if isinstance(answer, HttpFailure):
-        ran = Ran.UNKNOWN if answer.sent else Ran.NO
+    if isinstance(response, HttpFailure):
+        ran = ExecutionStatus.UNKNOWN if response.sent else ExecutionStatus.NO
         return refuse_call(
-            call, RefusalType.BACKEND_FAILED, answer.message, ran
+            call, RefusalType.BACKEND_FAILED, response.message, ran
         )
-    kept = [
+    headers = [
         wire.Header(name, value)
-        for name, value in answer.headers
-        if name.lower() not in _HOP_HEADERS
+        for name, value in response.headers
+        if name.lower() not in _HOP_BY_HOP_HEADERS
     ]
     return wire.PlainReply(
         call=call.call,
-        status=answer.status,
-        headers=kept,
-        body=answer.body,
-        ran=Ran.YES,
+        status=response.status,
+        headers=headers,
+        body=response.body,
+        ran=ExecutionStatus.YES,
     )
 
 
@@ -124,7 +125,7 @@
     call: wire.PlainCall,
     reason: RefusalType,
     message: str,
-    ran: Ran,
+    ran: ExecutionStatus,
     retry_after_ms: int = _RETRY_AFTER_MS,
 ) -> wire.PlainReply:
     """Returns the refusal of a call."""
@@ -139,13 +140,13 @@
 
 
 class PlainCallHandler:
-    """The calls that run at this side process.
+    """Handles the calls that entries send to this side process.
 
     Args:
         service: Name of the service.
-        caller: Runs them.
-        network: Where answers are sent.
-        metrics: Where they are counted.
+        caller: Makes the calls.
+        network: Network that sends the replies.
+        metrics: Registry that counts calls.
     """
 
     def __init__(
@@ -166,15 +167,15 @@
 
     @property
     def busy(self) -> bool:
-        """Whether calls run or their outcomes are still unwritten."""
+        """Whether calls run or their outcomes are not on the log yet."""
         return self._running > 0 or self._caller.pending > 0
 
     def start(self) -> None:
-        """Starts to follow the log of calls."""
+        """Starts the background work of the caller."""
         self._caller.start()
 
     def on_head(self, head: Head) -> None:
-        """Takes a new bundle."""
+        """Applies the service's rule from a new bundle."""
         rule = head.bundle.services.get(self._service)
         if rule is not None:
             self._caller.on_rule(rule)
@@ -182,10 +183,20 @@
     def on_call(
         self, peer: PeerAddress, call: wire.PlainCall, *, leaving: bool
     ) -> None:
-        """Takes a call from an entry."""
+        """Handles a call from an entry.
+
+        Args:
+            peer: The entry.
+            call: The call.
+            leaving: Whether this instance is draining; the call is refused
+                then.
+        """
         if leaving:
             reply = refuse_call(
-                call, RefusalType.LEAVING, "instance is leaving", Ran.NO
+                call,
+                RefusalType.LEAVING,
+                "instance is draining",
+                ExecutionStatus.NO,
             )
             self._network.send(peer, reply)
             return
--- a/caroblug/side/tests/test_batch_scheduler.py
+++ b/caroblug/side/tests/test_batch_scheduler.py
@@ -1,4 +1,4 @@
-"""The pump: bounded batches, order inside a stream, chunks of prompts."""
+"""Tests of batch bounds, order within a stream, and chunked prompts."""
 
 import random
 
@@ -12,8 +12,8 @@
 _BATCH = 8
 
 
-class _Engine(EngineClient):
-    """An engine whose calls end when the test says so."""
+class _FakeEngine(EngineClient):
+    """An engine whose calls block until the test ends them."""
 
     def __init__(self):
         self.calls = []
@@ -37,9 +37,9 @@
 
 class _Bench:
     def __init__(self):
-        self.engine = _Engine()
+        self.engine = _FakeEngine()
         self.results = []
-        self.pump = BatchScheduler(
+        self.scheduler = BatchScheduler(
             self.engine,
             ManualClock(),
             make_metrics(),
@@ -49,12 +49,14 @@
             4,
             "fair",
         )
-        self.pump.start()
+        self.scheduler.start()
 
-    def submit(self, session, position, length, *, alone=False):
+    def submit(self, session, position, length, *, isolated=False):
         inputs = tuple(range(position, position + length))
         item = EngineItem(session, 0, 4, position, inputs, 1)
-        self.pump.submit("account", item, float(length), 1.0, alone=alone)
+        self.scheduler.submit(
+            "account", item, float(length), 1.0, isolated=isolated
+        )
 
     def settle(self):
         for _ in range(3):
@@ -68,11 +70,12 @@
         return items
 
 
-def test_engine_never_holds_more_than_two_batches_and_order_is_kept():
-    """A slow engine's memory grows with every caller who waits.
+def test_engine_has_at_most_two_batches_and_order_is_preserved():
+    """Guards against the memory of a slow engine growing with its backlog.
 
-    Steps come faster than the engine runs them, long prompts among them; the
-    pump keeps them back, cuts them and sends a stream's parts in order.
+    Steps and long prompts arrive faster than the engine runs them. The
+    scheduler must hold them back, split them and preserve the order within a
+    stream.
     """
     rng = random.Random(7)
     bench = _Bench()
@@ -84,7 +87,7 @@
         bench.submit(session, start, length)
         wanted[session] = start + length
     bench.settle()
-    assert bench.pump.backlog == sum(wanted.values())
+    assert bench.scheduler.backlog == sum(wanted.values())
     largest = 0
     while bench.engine.calls:
         assert bench.engine.positions <= 2 * _BATCH
@@ -93,7 +96,7 @@
         items = bench.end_call(rng)
         largest = max(largest, sum(len(i.inputs) for i in items))
     assert largest == _BATCH
-    assert bench.pump.backlog == 0
+    assert bench.scheduler.backlog == 0
     done = {}
     for result in bench.results:
         assert result.position == done.get(result.session, 0)
@@ -101,11 +104,11 @@
     assert done == wanted
 
 
-def test_long_prompt_does_not_hold_up_other_streams():
-    """A caller's next word waits for a stranger's whole prompt.
+def test_long_prompt_does_not_delay_other_streams():
+    """Guards against a token that waits for the whole prompt of another stream.
 
-    The prompt of 400 positions came first; without chunks it would be in the
-    engine alone for fifty batches.
+    The prompt of 400 positions is submitted first. Without chunks it would
+    occupy the engine for fifty batches.
     """
     bench = _Bench()
     bench.submit("long", 0, 400)
@@ -123,24 +126,24 @@
     bench.submit("long", 0, 400)
     bench.submit("other", 0, 2)
     bench.settle()
-    bench.pump.end("long")
+    bench.scheduler.end("long")
     while bench.engine.calls:
         bench.end_call()
-    assert bench.pump.backlog == 0
+    assert bench.scheduler.backlog == 0
     assert {r.session for r in bench.results} == {"other"}
 
 
-def test_call_that_only_ends_sessions_lets_nobody_beside_a_suspect():
-    """A caller's request is refused as one that crashes engines, wrongly.
+def test_call_that_only_ends_sessions_does_not_end_isolation():
+    """Guards against innocent requests that are suspected of a crash.
 
-    A suspect runs alone; a call that only frees caches returns meanwhile and
-    counted as the suspect's own, so that others joined it in the engine and
-    were suspected of its next crash.
+    A call that only frees caches returned during the isolated run of a suspect
+    and was taken for the end of that run. Other items then joined the suspect
+    in the engine and were suspected of its next crash.
     """
     bench = _Bench()
-    bench.submit("suspect", 0, 1, alone=True)
+    bench.submit("suspect", 0, 1, isolated=True)
     bench.settle()
-    bench.pump.end("forgotten")
+    bench.scheduler.end("forgotten")
     bench.settle()
     bench.submit("innocent", 0, 1)
     bench.settle()
@@ -149,14 +152,14 @@
     assert ended == []
     done.set()
     bench.settle()
-    assert list(bench.pump.in_engine) == ["suspect"]
+    assert list(bench.scheduler.sessions_in_engine) == ["suspect"]
 
 
-def test_step_is_not_called_together_with_a_chunk():
-    """A caller's next word comes a whole batch late, though its step has run.
+def test_step_and_chunk_are_sent_in_separate_calls():
+    """Guards against a token that is delayed by a whole batch.
 
-    The engine left the chunk that went with it for its next batch, and a
-    call is answered when its last item has run.
+    An engine may defer a chunk to its next batch, and a call returns when its
+    last item has run. A step in the same call would wait for the chunk.
     """
     bench = _Bench()
     bench.submit("long", 0, 4)
@@ -168,4 +171,4 @@
     assert sorted(called, key=sorted) == [{"long"}, {"short"}]
     while bench.engine.calls:
         bench.end_call()
-    assert bench.pump.backlog == 0
+    assert bench.scheduler.backlog == 0
--- a/caroblug/transport/_weight_store.py
+++ b/caroblug/transport/_weight_store.py
@@ -1,4 +1,4 @@
-"""The weight store: gives leave to load weights, at its own rate."""
+"""Client of the weight store, which limits the rate of weight loads."""
 
 import abc
 import dataclasses
@@ -7,17 +7,17 @@
 from caroblug.transport._http import HttpFailure, HttpResponse, JsonHttpClient
 
 _CREATED = 201
-_TOO_MANY = 429
+_TOO_MANY_REQUESTS = 429
 _MS_PER_S = 1000
 _DEFAULT_RETRY_S = 1.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Reserved:
-    """The weights may be loaded.
+    """Permission to load weights.
 
     Attributes:
-        ticket: Shown to the store by the engine.
+        ticket: Ticket that the engine presents to the store.
     """
 
     ticket: str
@@ -25,10 +25,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WeightsBusy:
-    """The store's rate is used up.
+    """A refusal because the rate limit of the store is reached.
 
     Attributes:
-        retry_after_ms: When to ask again, as the store says.
+        retry_after_ms: Time that the store asks to wait before a retry.
     """
 
     retry_after_ms: int
@@ -36,10 +36,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WeightsUnavailable:
-    """The store gave no answer.
+    """A failed call to the store.
 
     Attributes:
-        message: What was seen.
+        message: Description of the failure.
     """
 
     message: str
@@ -49,38 +49,38 @@
 
 
 class WeightStore(abc.ABC):
-    """A client of the weight store."""
+    """Interface of a client of the weight store."""
 
     @abc.abstractmethod
     def reserve(self, model: str, version: str, adapter: str) -> Reservation:
-        """Asks for leave to load weights."""
+        """Requests permission to load the weights of a model version."""
 
 
 class HttpWeightStore(WeightStore):
-    """The weight store over HTTP and JSON."""
+    """A weight store client over HTTP and JSON."""
 
     def __init__(self, host: str, port: int, timeout_ms: int) -> None:
         self._client = JsonHttpClient(host, port, timeout_ms, connections=1)
 
     def reserve(self, model: str, version: str, adapter: str) -> Reservation:
-        """Asks for leave to load weights."""
+        """Requests permission to load the weights of a model version."""
         body = {"model": model, "version": version, "adapter": adapter}
-        answer = self._client.request("POST", "/v1/loads", body)
-        if isinstance(answer, HttpFailure):
-            return WeightsUnavailable(answer.message)
-        if answer.status == _TOO_MANY:
-            return WeightsBusy(_retry_after_ms(answer))
-        if answer.status != _CREATED:
-            return WeightsUnavailable(f"status {answer.status}")
+        response = self._client.request("POST", "/v1/loads", body)
+        if isinstance(response, HttpFailure):
+            return WeightsUnavailable(response.message)
+        if response.status == _TOO_MANY_REQUESTS:
+            return WeightsBusy(_retry_after_ms(response))
+        if response.status != _CREATED:
+            return WeightsUnavailable(f"status {response.status}")
         try:
-            return Reserved(str(answer.json()["ticket"]))
+            return Reserved(str(response.json()["ticket"]))
         except (KeyError, TypeError, ValueError):
-            return WeightsUnavailable("answer does not parse")
+            return WeightsUnavailable("response is not valid")
 
 
-def _retry_after_ms(answer: HttpResponse) -> int:
+def _retry_after_ms(response: HttpResponse) -> int:
     seconds = _DEFAULT_RETRY_S
-    for name, value in answer.headers:
+    for name, value in response.headers:
         if name.lower() == "retry-after":
             try:
                 seconds = float(value)
