--- a/caroblug/explain/__init__.py
+++ b/caroblug/explain/__init__.py
@@ -2,16 +2,16 @@
 
 from caroblug.explain._commands import main
 from caroblug.explain._lines import LogLine, read_lines
-from caroblug.explain._losses import Loss, sum_losses
-from caroblug.explain._stories import Belief, believe, tell_request
+from caroblug.explain._losses import Loss, group_losses
+from caroblug.explain._timelines import Belief, states_at, trace_request
 
 __all__ = [
     "Belief",
     "LogLine",
     "Loss",
-    "believe",
+    "states_at",
     "main",
     "read_lines",
-    "sum_losses",
-    "tell_request",
+    "group_losses",
+    "trace_request",
 ]
--- a/caroblug/explain/_commands.py
+++ b/caroblug/explain/_commands.py
@@ -9,8 +9,8 @@
 import attrs
 
 from caroblug.explain._lines import LogLine, read_lines
-from caroblug.explain._losses import Loss, sum_losses
-from caroblug.explain._stories import Belief, believe, tell_request
+from caroblug.explain._losses import Loss, group_losses
+from caroblug.explain._timelines import Belief, states_at, trace_request
 
 _EXIT_NOT_FOUND = 1
 
@@ -21,10 +21,10 @@
     with fileinput.input(options.files, encoding="utf-8") as files:
         lines = list(read_lines(files))
     if options.command == "request":
-        return _explain_request(lines, options.id, options.json)
+        return _print_request(lines, options.id, options.json)
     if options.command == "losses":
-        return _explain_losses(lines, options.json)
-    return _explain_moment(lines, options.time, options.json)
+        return _print_losses(lines, options.json)
+    return _print_states(lines, options.time, options.json)
 
 
 def _make_parser() -> argparse.ArgumentParser:
@@ -35,7 +35,7 @@
     parser.add_argument("--json", action="store_true", help="as JSON")
     commands = parser.add_subparsers(dest="command", required=True)
     request = commands.add_parser(
-        "request", help="the story of one request, in order of time"
+        "request", help="the timeline of one request, in order of time"
     )
     request.add_argument("id", help="the request's id")
     moment = commands.add_parser(
@@ -54,26 +54,26 @@
     return parser
 
 
-def _explain_request(lines: list[LogLine], request: str, as_json: bool) -> int:
-    story = tell_request(lines, request)
-    if not story:
+def _print_request(lines: list[LogLine], request: str, as_json: bool) -> int:
+    timeline = trace_request(lines, request)
+    if not timeline:
         print(f"no line names request {request}", file=sys.stderr)
         return _EXIT_NOT_FOUND
     if as_json:
-        print(json.dumps([attrs.asdict(line) for line in story]))
+        print(json.dumps([attrs.asdict(line) for line in timeline]))
         return 0
-    for line in story:
-        told = " ".join(
+    for line in timeline:
+        text = " ".join(
             f"{key}={value}"
             for key, value in line.fields.items()
             if key != "request"
         )
-        print(f"{_clock(line.at_s)} {line.instance} {line.kind} {told}")
+        print(f"{_format_time(line.at_s)} {line.instance} {line.kind} {text}")
     return 0
 
 
-def _explain_moment(lines: list[LogLine], at_s: float, as_json: bool) -> int:
-    beliefs = believe(lines, at_s)
+def _print_states(lines: list[LogLine], at_s: float, as_json: bool) -> int:
+    beliefs = states_at(lines, at_s)
     if not beliefs:
         print(f"no line is as old as {at_s}", file=sys.stderr)
         return _EXIT_NOT_FOUND
@@ -82,12 +82,12 @@
         print(json.dumps(table))
         return 0
     for name in sorted(beliefs):
-        _print_belief(beliefs[name])
+        _print_state(beliefs[name])
     return 0
 
 
-def _explain_losses(lines: list[LogLine], as_json: bool) -> int:
-    losses = sum_losses(lines)
+def _print_losses(lines: list[LogLine], as_json: bool) -> int:
+    losses = group_losses(lines)
     if as_json:
         print(json.dumps([attrs.asdict(loss) for loss in losses]))
         return 0
@@ -103,12 +103,12 @@
         ("instances", loss.instances),
         ("seconds", loss.seconds),
     ):
-        told = " ".join(f"{key}={value}" for key, value in counts.items())
-        if told:
-            print(f"       {name}: {told}")
+        text = " ".join(f"{key}={value}" for key, value in counts.items())
+        if text:
+            print(f"       {name}: {text}")
 
 
-def _print_belief(belief: Belief) -> None:
+def _print_state(belief: Belief) -> None:
     print(belief.instance)
     for name, value in belief.values.items():
         print(f"  {name}: {value}")
@@ -118,6 +118,6 @@
         print(f"  avoids {name}: {reason}")
 
 
-def _clock(at_s: float) -> str:
+def _format_time(at_s: float) -> str:
     moment = datetime.datetime.fromtimestamp(at_s, datetime.UTC)
     return moment.strftime("%H:%M:%S.%f")[:-3]
--- a/caroblug/explain/_lines.py
+++ b/caroblug/explain/_lines.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-_OWN_FIELDS = frozenset(
+_HEADER_FIELDS = frozenset(
     {"timestamp", "instance", "message_type", "task_uuid", "task_level"}
 )
 
@@ -45,7 +45,7 @@
                 float(fields["timestamp"]),
                 str(fields["instance"]),
                 str(fields["message_type"]),
-                {k: v for k, v in fields.items() if k not in _OWN_FIELDS},
+                {k: v for k, v in fields.items() if k not in _HEADER_FIELDS},
             )
         except (ValueError, KeyError, TypeError):
             # Another program's line, or one that was cut; it tells nothing.
--- a/caroblug/explain/_losses.py
+++ b/caroblug/explain/_losses.py
@@ -8,9 +8,9 @@
 
 from caroblug.explain._lines import LogLine
 
-_ANSWERS = ("request", "request.failed")
-_REFUSED = 503
-_VARYING = re.compile(r"\bi-\w+|\b\d+ ms\b|\blayer \d+|\bevent \d+")
+_ANSWER_KINDS = ("request", "request.failed")
+_STATUS_UNAVAILABLE = 503
+_VARIABLE_PARTS = re.compile(r"\bi-\w+|\b\d+ ms\b|\blayer \d+|\bevent \d+")
 """What differs between reasons of the same kind: engines, times, positions."""
 
 
@@ -35,7 +35,7 @@
     seconds: dict[int, int]
 
 
-def sum_losses(lines: Iterable[LogLine]) -> list[Loss]:
+def group_losses(lines: Iterable[LogLine]) -> list[Loss]:
     """Returns losses by outcome and cause, most requests first.
 
     Args:
@@ -43,35 +43,35 @@
     """
     groups: dict[tuple[str, str], list[LogLine]] = collections.defaultdict(list)
     for line in lines:
-        if line.kind not in _ANSWERS:
+        if line.kind not in _ANSWER_KINDS:
             continue
-        outcome = _outcome(line)
+        outcome = _classify_outcome(line)
         if outcome:
-            groups[(outcome, _cause(line))].append(line)
-    losses = [_sum(*key, lines) for key, lines in groups.items()]
+            groups[(outcome, _normalize_cause(line))].append(line)
+    losses = [_make_loss(*key, lines) for key, lines in groups.items()]
     return sorted(losses, key=lambda loss: -loss.requests)
 
 
-def _outcome(line: LogLine) -> str:
+def _classify_outcome(line: LogLine) -> str:
     status = int(line.fields.get("status", 0))
     if line.fields.get("cut"):
         return "cut"
-    if status == _REFUSED:
+    if status == _STATUS_UNAVAILABLE:
         return "refused"
     if line.kind == "request.failed":
         return "failed"
     return "late" if line.fields.get("late") else ""
 
 
-def _cause(line: LogLine) -> str:
+def _normalize_cause(line: LogLine) -> str:
     text = line.fields.get("reason") or ""
     if not text:
         late = line.fields.get("late", "")
         text = f"{late}: {line.fields.get('cause') or 'nothing seen'}"
-    return _VARYING.sub("*", text)
+    return _VARIABLE_PARTS.sub("*", text)
 
 
-def _sum(outcome: str, cause: str, lines: list[LogLine]) -> Loss:
+def _make_loss(outcome: str, cause: str, lines: list[LogLine]) -> Loss:
     engines = (line.fields.get("engine") for line in lines)
     seconds = collections.Counter(int(line.at_s) for line in lines)
     return Loss(
--- a/caroblug/explain/_stories.py
+++ b/caroblug/explain/_timelines.py
@@ -7,15 +7,15 @@
 
 from caroblug.explain._lines import LogLine
 
-_BELIEFS = {
+_STATE_KINDS = {
     "configuration.taken": ("configuration", "version"),
     "placement.acting": ("places layers", "acting"),
     "placement.lease": ("holds the lease", "held"),
 }
-_LOST = "store.lost"
-_REGAINED = "store.regained"
-_AVOIDED = "backend_server.avoided"
-_BACK = "backend_server.back"
+_DEPENDENCY_LOST = "store.lost"
+_DEPENDENCY_REGAINED = "store.regained"
+_EJECTED = "backend_server.avoided"
+_READMITTED = "backend_server.back"
 
 
 @attrs.define
@@ -35,7 +35,7 @@
     avoided: dict[str, str] = attrs.field(factory=dict)
 
 
-def tell_request(lines: Iterable[LogLine], request: str) -> list[LogLine]:
+def trace_request(lines: Iterable[LogLine], request: str) -> list[LogLine]:
     """Returns what concerns a request, in order of time.
 
     Besides its own lines these are the ones by which an instance that had it
@@ -49,23 +49,23 @@
     own = [line for line in known if line.fields.get("request") == request]
     if not own:
         return []
-    servers = {name for line in own for name in _servers_of(line)}
+    servers = {name for line in own for name in _names_of_servers(line)}
     first = min(line.at_s for line in own)
     last = max(line.at_s for line in own)
     took_s = max(line.fields.get("took_ms", 0) for line in own) / 1000
     instances = {line.instance for line in own}
-    around = [
+    related = [
         line
         for line in known
-        if line.kind in (_AVOIDED, _BACK)
+        if line.kind in (_EJECTED, _READMITTED)
         and line.instance in instances
         and line.fields.get("backend_server") in servers
         and first - took_s <= line.at_s <= last
     ]
-    return sorted(own + around, key=lambda line: line.at_s)
+    return sorted(own + related, key=lambda line: line.at_s)
 
 
-def _servers_of(line: LogLine) -> list[str]:
+def _names_of_servers(line: LogLine) -> list[str]:
     names = list(line.fields.get("path") or ())
     names += line.fields.get("tried") or ()
     for key in ("backend_server", "lost"):
@@ -74,7 +74,7 @@
     return names
 
 
-def believe(lines: Iterable[LogLine], at_s: float) -> dict[str, Belief]:
+def states_at(lines: Iterable[LogLine], at_s: float) -> dict[str, Belief]:
     """Returns what each instance believed at a moment.
 
     Args:
@@ -86,24 +86,24 @@
         if line.at_s > at_s:
             break
         belief = beliefs.setdefault(line.instance, Belief(line.instance))
-        _update(belief, line)
+        _apply_line(belief, line)
     return beliefs
 
 
-def _update(belief: Belief, line: LogLine) -> None:
+def _apply_line(belief: Belief, line: LogLine) -> None:
     fields = line.fields
-    if line.kind in _BELIEFS:
-        name, key = _BELIEFS[line.kind]
+    if line.kind in _STATE_KINDS:
+        name, key = _STATE_KINDS[line.kind]
         belief.values[name] = fields.get(key)
     elif line.kind == "program.started":
         belief.values.clear()
         belief.lost.clear()
         belief.avoided.clear()
-    elif line.kind == _LOST:
+    elif line.kind == _DEPENDENCY_LOST:
         belief.lost[fields["what"]] = fields.get("reason", "")
-    elif line.kind == _REGAINED:
+    elif line.kind == _DEPENDENCY_REGAINED:
         belief.lost.pop(fields["what"], None)
-    elif line.kind == _AVOIDED:
+    elif line.kind == _EJECTED:
         belief.avoided[fields["backend_server"]] = fields.get("reason", "")
-    elif line.kind == _BACK:
+    elif line.kind == _READMITTED:
         belief.avoided.pop(fields["backend_server"], None)
--- a/caroblug/explain/tests/test_explain.py
+++ b/caroblug/explain/tests/test_explain.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from caroblug.explain import believe, main, read_lines, tell_request
+from caroblug.explain import main, read_lines, states_at, trace_request
 
 
 def line(at, instance, kind, **fields):
@@ -35,7 +35,7 @@
 
 
 def test_request_is_told_with_what_it_met():
-    story = tell_request(parsed(), "r1")
+    story = trace_request(parsed(), "r1")
 
     assert [s.kind for s in story] == [
         "backend_server.avoided",
@@ -45,18 +45,18 @@
 
 
 def test_unknown_request_has_no_story():
-    assert tell_request(parsed(), "r9") == []
+    assert trace_request(parsed(), "r9") == []
 
 
 def test_what_was_believed_at_a_moment():
-    before = believe(parsed(), 3.5)
+    before = states_at(parsed(), 3.5)
     assert before["g1"].values["configuration"] == 4
     assert before["g2"].values["configuration"] == 5
     assert before["g1"].avoided == {"e1": "reset"}
     assert before["g1"].lost == {}
-    assert believe(parsed(), 6.5)["g1"].lost == {"backends": "busy"}
-    assert believe(parsed(), 9.0)["g1"].lost == {}
-    assert believe(parsed(), 9.0)["g1"].avoided == {}
+    assert states_at(parsed(), 6.5)["g1"].lost == {"backends": "busy"}
+    assert states_at(parsed(), 9.0)["g1"].lost == {}
+    assert states_at(parsed(), 9.0)["g1"].avoided == {}
 
 
 def test_lines_may_have_something_before_them():
--- a/caroblug/explain/tests/test_losses.py
+++ b/caroblug/explain/tests/test_losses.py
@@ -2,7 +2,7 @@
 
 import json
 
-from caroblug.explain import LogLine, main, sum_losses
+from caroblug.explain import LogLine, group_losses, main
 
 
 def answered(at_s, instance="g1", kind="request", **fields):
@@ -29,7 +29,7 @@
 
 
 def test_losses_are_summed_by_outcome_and_cause():
-    losses = {(x.outcome, x.cause): x for x in sum_losses(LINES)}
+    losses = {(x.outcome, x.cause): x for x in group_losses(LINES)}
 
     paused = losses["late", "pause: path changed"]
     assert paused.requests == 2
--- a/caroblug/report/_burn.py
+++ b/caroblug/report/_burn.py
@@ -15,19 +15,22 @@
 
 from caroblug.core.state import Objective
 from caroblug.report._pages import Counts, Page, Series
-from caroblug.report._snapshots import Snapshot, difference
+from caroblug.report._snapshots import Snapshot, diff_pages
 from caroblug.utils import CALLER_ERRORS
 
 _US_PER_MS = 1000
-_PERIOD_S = 30 * 24 * 3600
-_COUNTER_OF_MEASURE = {
+_BUDGET_PERIOD_S = 30 * 24 * 3600
+_COUNTER_BY_MEASURE = {
     "first_token": "requests",
     "between_tokens": "",
     "request": "requests",
     "call": "calls",
 }
 _ANSWERED = "answered"
-_NOT_COUNTED = {"cancelled", *(refusal.value for refusal in CALLER_ERRORS)}
+_UNCOUNTED_OUTCOMES = {
+    "cancelled",
+    *(refusal.value for refusal in CALLER_ERRORS),
+}
 
 
 @attrs.frozen
@@ -120,23 +123,23 @@
     """
     series = Series(objective.measure, objective.service, group)
     counts = page.latencies.get(series, {})
-    slow = _slow(counts, objective.within_ms)
-    counter = _COUNTER_OF_MEASURE[objective.measure]
+    slow = _count_slow(counts, objective.within_ms)
+    counter = _COUNTER_BY_MEASURE[objective.measure]
     if not counter:
         return Tally(float(sum(counts.values())), slow)
-    outcomes = _outcomes(page, objective, group, counter)
+    outcomes = _count_outcomes(page, objective, group, counter)
     total = sum(outcomes.values())
     failed = total - outcomes.get(_ANSWERED, 0.0)
     return Tally(total, min(total, slow + failed))
 
 
-def _slow(counts: Counts, within_ms: int) -> float:
+def _count_slow(counts: Counts, within_ms: int) -> float:
     """Counts above the bound; a bucket that straddles it counts as slow."""
     bound_us = within_ms * _US_PER_MS
     return float(sum(n for us, n in counts.items() if us > bound_us))
 
 
-def _outcomes(
+def _count_outcomes(
     page: Page, objective: Objective, group: str, counter: str
 ) -> dict[str, float]:
     return {
@@ -145,7 +148,7 @@
         if series.measure == counter
         and series.service == objective.service
         and series.group == group
-        and series.outcome not in _NOT_COUNTED
+        and series.outcome not in _UNCOUNTED_OUTCOMES
     }
 
 
@@ -161,33 +164,33 @@
     """
     parsed = [snapshot.pages() for snapshot in snapshots]
     times = [snapshot.time_s for snapshot in snapshots]
-    whole = difference({}, parsed[-1]) if len(parsed) == 1 else None
-    changes = _Changes(parsed, times, whole)
+    since_start = diff_pages({}, parsed[-1]) if len(parsed) == 1 else None
+    changes = _WindowDifferences(parsed, times, since_start)
     burns = []
     for objective in objectives:
-        for group in _groups(parsed[-1], objective):
-            burns.append(_burn_of(changes, objective, group))
+        for group in _find_groups(parsed[-1], objective):
+            burns.append(_compute_objective_burn(changes, objective, group))
     return burns
 
 
-class _Changes:
+class _WindowDifferences:
     """Pages of differences by window length, each computed once."""
 
     def __init__(
         self,
         parsed: Sequence[Mapping[str, Page]],
         times: Sequence[float],
-        whole: Page | None,
+        since_start: Page | None,
     ) -> None:
         self._parsed = parsed
         self._times = times
-        self._whole = whole
+        self._since_start = since_start
         self._cache: dict[int, Page] = {}
 
     def over(self, length_s: float) -> tuple[Page, float]:
         """Returns the differences over a window and the time it covers."""
-        if self._whole is not None:
-            return self._whole, 0.0
+        if self._since_start is not None:
+            return self._since_start, 0.0
         end_s = self._times[-1]
         index = 0
         for place, time_s in enumerate(self._times[:-1]):
@@ -201,17 +204,17 @@
         """Adds up the steps, so that a restart in any of them is seen."""
         total = Page({}, {}, {})
         for place in range(index, len(self._parsed) - 1):
-            step = difference(self._parsed[place], self._parsed[place + 1])
+            step = diff_pages(self._parsed[place], self._parsed[place + 1])
             total = _merge(total, step)
         return total
 
 
 def _merge(left: Page, right: Page) -> Page:
-    return difference({}, {"left": left, "right": right})
+    return diff_pages({}, {"left": left, "right": right})
 
 
-def _groups(pages: Mapping[str, Page], objective: Objective) -> list[str]:
-    measures = {objective.measure, _COUNTER_OF_MEASURE[objective.measure]}
+def _find_groups(pages: Mapping[str, Page], objective: Objective) -> list[str]:
+    measures = {objective.measure, _COUNTER_BY_MEASURE[objective.measure]}
     return sorted(
         {
             series.group
@@ -223,7 +226,9 @@
     )
 
 
-def _burn_of(changes: _Changes, objective: Objective, group: str) -> Burn:
+def _compute_objective_burn(
+    changes: _WindowDifferences, objective: Objective, group: str
+) -> Burn:
     windows = []
     for window in WINDOWS:
         long_page, covered_s = changes.over(window.long_s)
@@ -236,7 +241,7 @@
                 tally(short_page, objective, group).burn(objective.share),
             )
         )
-    page, covered_s = changes.over(_PERIOD_S)
+    page, covered_s = changes.over(_BUDGET_PERIOD_S)
     seen = tally(page, objective, group)
     return Burn(
         objective,
@@ -244,10 +249,10 @@
         tuple(windows),
         seen.total,
         seen.bad,
-        1 - seen.burn(objective.share) * _share_of_period(covered_s),
+        1 - seen.burn(objective.share) * _fraction_of_period(covered_s),
     )
 
 
-def _share_of_period(covered_s: float) -> float:
+def _fraction_of_period(covered_s: float) -> float:
     """A single snapshot covers an unknown time, taken as the whole period."""
-    return min(1.0, covered_s / _PERIOD_S) if covered_s else 1.0
+    return min(1.0, covered_s / _BUDGET_PERIOD_S) if covered_s else 1.0
--- a/caroblug/report/_commands.py
+++ b/caroblug/report/_commands.py
@@ -14,7 +14,7 @@
 from caroblug.report._pages import Page
 from caroblug.report._snapshots import (
     Snapshot,
-    difference,
+    diff_pages,
     load_snapshots,
     save_snapshot,
 )
@@ -25,20 +25,20 @@
 EXIT_OK = 0
 EXIT_BURNING = 1
 EXIT_USAGE = 2
-_FAST = "fast"
+_FAST_WINDOW = "fast"
 _TIMEOUT_MS = 2000
-_OK = 200
+_STATUS_OK = 200
 _DEFAULT_WATCH_S = 30.0
 
 
 @attrs.frozen
-class _Failed:
+class _ReportFailure:
     """The report can't be made."""
 
     message: str
 
 
-def scrape(addresses: list[str]) -> Snapshot | _Failed:
+def scrape(addresses: list[str]) -> Snapshot | _ReportFailure:
     """Reads `/metrics` of every address that answers.
 
     An instance that is down must not hide the others' burn: it is named on
@@ -48,16 +48,16 @@
     for address in addresses:
         host, _, port = address.rpartition(":")
         if not host or not port.isdigit():
-            return _Failed(f"{address} must be HOST:PORT")
+            return _ReportFailure(f"{address} must be HOST:PORT")
         answer = JsonHttp(host, int(port), _TIMEOUT_MS).request(
             "GET", "/metrics"
         )
-        if isinstance(answer, HttpAnswer) and answer.status == _OK:
+        if isinstance(answer, HttpAnswer) and answer.status == _STATUS_OK:
             texts[address] = answer.body.decode()
         else:
             print(f"{address}: gave no metrics", file=sys.stderr)
     if not texts:
-        return _Failed("no instance gave its metrics")
+        return _ReportFailure("no instance gave its metrics")
     return Snapshot(time.time(), texts)
 
 
@@ -71,45 +71,45 @@
         print("give instances or --snapshots", file=sys.stderr)
         return EXIT_USAGE
     objectives = _read_objectives(options.bundle)
-    if isinstance(objectives, _Failed):
-        return _fail(objectives)
+    if isinstance(objectives, _ReportFailure):
+        return _print_failure(objectives)
     history: list[Snapshot] = []
     while True:
-        code = _round(options, objectives, history)
+        code = _report_once(options, objectives, history)
         if options.watch is None or code == EXIT_USAGE:
             return code
         sys.stdout.flush()
         time.sleep(options.watch)
 
 
-def _round(
+def _report_once(
     options: argparse.Namespace,
     objectives: list[Objective],
     history: list[Snapshot],
 ) -> int:
-    snapshots = _gather(options, history)
-    if isinstance(snapshots, _Failed):
-        return _fail(snapshots)
+    snapshots = _collect_snapshots(options, history)
+    if isinstance(snapshots, _ReportFailure):
+        return _print_failure(snapshots)
     try:
         burns = compute_burn(snapshots, objectives)
-        total = difference({}, snapshots[-1].pages())
+        total = diff_pages({}, snapshots[-1].pages())
     except ValueError as error:
-        return _fail(_Failed(f"a page does not parse: {error}"))
+        return _print_failure(_ReportFailure(f"a page does not parse: {error}"))
     _write(options, burns, total)
     burning = any(
-        item.burning and item.window.name == _FAST
+        item.burning and item.window.name == _FAST_WINDOW
         for burn in burns
         for item in burn.windows
     )
     return EXIT_BURNING if burning else EXIT_OK
 
 
-def _gather(
+def _collect_snapshots(
     options: argparse.Namespace, history: list[Snapshot]
-) -> list[Snapshot] | _Failed:
+) -> list[Snapshot] | _ReportFailure:
     if options.instance:
         scraped = scrape(options.instance)
-        if isinstance(scraped, _Failed):
+        if isinstance(scraped, _ReportFailure):
             return scraped
         history.append(scraped)
         if options.snapshots:
@@ -119,19 +119,19 @@
     try:
         found = load_snapshots(pathlib.Path(options.snapshots))
     except (OSError, ValueError) as error:
-        return _Failed(str(error))
-    return found or _Failed(f"{options.snapshots} holds no snapshot")
+        return _ReportFailure(str(error))
+    return found or _ReportFailure(f"{options.snapshots} holds no snapshot")
 
 
-def _read_objectives(path: str | None) -> list[Objective] | _Failed:
+def _read_objectives(path: str | None) -> list[Objective] | _ReportFailure:
     if path is None:
         return []
     try:
         parsed = parse_bundle(pathlib.Path(path).read_text(), path)
     except OSError as error:
-        return _Failed(f"{path}: {error.strerror}")
+        return _ReportFailure(f"{path}: {error.strerror}")
     if isinstance(parsed, SettingsRejected):
-        return _Failed("\n".join(str(p) for p in parsed.problems))
+        return _ReportFailure("\n".join(str(p) for p in parsed.problems))
     return parsed.objectives
 
 
@@ -151,8 +151,8 @@
         sys.stdout.write(report)
 
 
-def _fail(failed: _Failed) -> int:
-    print(failed.message, file=sys.stderr)
+def _print_failure(failure: _ReportFailure) -> int:
+    print(failure.message, file=sys.stderr)
     return EXIT_USAGE
 
 
--- a/caroblug/report/_pages.py
+++ b/caroblug/report/_pages.py
@@ -12,7 +12,7 @@
 _LABEL = re.compile(r'(\w+)="([^"]*)"')
 _LOWEST_US = 1
 _HIGHEST_US = 3_600_000_000
-_DIGITS = 3
+_SIGNIFICANT_DIGITS = 3
 
 Counts = dict[int, int]
 
@@ -59,7 +59,7 @@
     for line in text.splitlines():
         match = _HDR_LINE.fullmatch(line)
         if match:
-            series = _series(match["measure"], match["labels"] or "")
+            series = _parse_series(match["measure"], match["labels"] or "")
             latencies[series] = decode_counts(match["data"])
     counters, accounts = _parse_counters(text)
     return Page(latencies, counters, accounts)
@@ -71,7 +71,7 @@
     Buckets keep three digits, the precision at which latencies are recorded,
     so that adding and subtracting them loses nothing.
     """
-    histogram = HdrHistogram(_LOWEST_US, _HIGHEST_US, _DIGITS)
+    histogram = HdrHistogram(_LOWEST_US, _HIGHEST_US, _SIGNIFICANT_DIGITS)
     histogram.decode_and_add(data.encode())
     return {
         item.value_iterated_to: item.count_added_in_this_iter_step
@@ -79,7 +79,7 @@
     }
 
 
-def _series(measure: str, labels: str) -> Series:
+def _parse_series(measure: str, labels: str) -> Series:
     found = dict(_LABEL.findall(labels))
     return Series(
         measure,
--- a/caroblug/report/_snapshots.py
+++ b/caroblug/report/_snapshots.py
@@ -54,7 +54,7 @@
     return sorted(snapshots, key=lambda snapshot: snapshot.time_s)
 
 
-def difference(old: Mapping[str, Page], new: Mapping[str, Page]) -> Page:
+def diff_pages(old: Mapping[str, Page], new: Mapping[str, Page]) -> Page:
     """Returns what all instances counted between two snapshots.
 
     Guards against an instance that restarted in between, whose counts began
@@ -68,28 +68,28 @@
     empty = Page({}, {}, {})
     for name, page in new.items():
         before = old.get(name, empty)
-        restarted = _fell(before.counters, page.counters)
+        restarted = _has_decreased(before.counters, page.counters)
         base = empty if restarted else before
         for series, counts in page.latencies.items():
             total = latencies.setdefault(series, {})
-            _add_counts(total, counts, base.latencies.get(series, {}))
-        _add(counters, page.counters, base.counters)
-        _add(accounts, page.accounts, base.accounts)
+            _add_count_increases(total, counts, base.latencies.get(series, {}))
+        _add_increases(counters, page.counters, base.counters)
+        _add_increases(accounts, page.accounts, base.accounts)
     return Page(latencies, counters, accounts)
 
 
-def _fell(old: Mapping[_K, float], new: Mapping[_K, float]) -> bool:
+def _has_decreased(old: Mapping[_K, float], new: Mapping[_K, float]) -> bool:
     return any(new.get(key, 0) < value for key, value in old.items())
 
 
-def _add_counts(total: Counts, counts: Counts, base: Counts) -> None:
+def _add_count_increases(total: Counts, counts: Counts, base: Counts) -> None:
     for bucket, count in counts.items():
         change = count - base.get(bucket, 0)
         if change > 0:
             total[bucket] = total.get(bucket, 0) + change
 
 
-def _add(
+def _add_increases(
     total: dict[_K, float], new: Mapping[_K, float], base: Mapping[_K, float]
 ) -> None:
     for key, value in new.items():
--- a/caroblug/report/_text.py
+++ b/caroblug/report/_text.py
@@ -5,13 +5,13 @@
 
 from caroblug.report._burn import Burn
 
-_WORST = 10
+_MAX_WORST_ACCOUNTS = 10
 
 
 def worst_accounts(accounts: Mapping[str, float]) -> list[tuple[str, float]]:
     """Returns the accounts with the most bad requests, worst first."""
     ordered = sorted(accounts.items(), key=lambda item: (-item[1], item[0]))
-    return ordered[:_WORST]
+    return ordered[:_MAX_WORST_ACCOUNTS]
 
 
 def to_text(burns: Sequence[Burn], accounts: Mapping[str, float]) -> str:
--- a/caroblug/utils/_metrics.py
+++ b/caroblug/utils/_metrics.py
@@ -9,17 +9,17 @@
 
 _LOWEST_US = 1
 _HIGHEST_US = 3_600_000_000
-_DIGITS = 3
+_SIGNIFICANT_DIGITS = 3
 _QUANTILES = (50.0, 95.0, 99.0, 100.0)
 _US_PER_MS = 1000
-_MOST_PENDING = 1000
-_HDR_COMMENT = "# HDR"
-_WORST_ACCOUNTS = 100
+_MAX_PENDING_VALUES = 1000
+_HDR_PREFIX = "# HDR"
+_MAX_ACCOUNTS = 100
 
 Labels = tuple[tuple[str, str], ...]
 
 
-class _Latency:
+class _LatencyHistogram:
     """One histogram, and the latencies not yet in it.
 
     The clock counts whole milliseconds, so that few values differ; recording
@@ -33,14 +33,16 @@
 
     def __init__(self) -> None:
         self.total_ms = 0.0
-        self._histogram = HdrHistogram(_LOWEST_US, _HIGHEST_US, _DIGITS)
+        self._histogram = HdrHistogram(
+            _LOWEST_US, _HIGHEST_US, _SIGNIFICANT_DIGITS
+        )
         self._pending: dict[float, int] = {}
 
     def record_ms(self, ms: float) -> None:
         """Records one latency."""
         pending = self._pending
         pending[ms] = pending.get(ms, 0) + 1
-        if len(pending) > _MOST_PENDING:
+        if len(pending) > _MAX_PENDING_VALUES:
             self.flush()
 
     def flush(self) -> HdrHistogram:
@@ -65,8 +67,8 @@
         self._counters: dict[str, prometheus_client.Counter] = {}
         self._gauges: dict[str, prometheus_client.Gauge] = {}
         self._children: dict[tuple[str, Labels], object] = {}
-        self._latencies: dict[tuple[str, Labels], _Latency] = {}
-        self._bad_by_account = TopCounter(_WORST_ACCOUNTS)
+        self._latencies: dict[tuple[str, Labels], _LatencyHistogram] = {}
+        self._bad_by_account = TopCounter(_MAX_ACCOUNTS)
 
     def count(self, name: str, amount: float = 1, **labels: str) -> None:
         """Adds `amount` to the counter `caroblug_<name>_total`."""
@@ -96,7 +98,7 @@
         key = (name, tuple(labels.items()))
         latency = self._latencies.get(key)
         if latency is None:
-            latency = self._latencies[key] = _Latency()
+            latency = self._latencies[key] = _LatencyHistogram()
         return latency.record_ms
 
     def count_account_failure(self, client_account: str) -> None:
@@ -148,31 +150,33 @@
         return []
     lines = ["# TYPE caroblug_account_bad_total counter"]
     for account, count in sorted(counts.items()):
-        label = _label_text((("client_account", account),))
+        label = _format_labels((("client_account", account),))
         lines.append(f"caroblug_account_bad_total{label} {count}")
     return lines
 
 
-def _summary_lines(name: str, labels: Labels, latency: _Latency) -> list[str]:
+def _summary_lines(
+    name: str, labels: Labels, latency: _LatencyHistogram
+) -> list[str]:
     histogram = latency.flush()
     lines = []
     for quantile in _QUANTILES:
         pairs = (*labels, ("quantile", f"{quantile / 100:g}"))
         ms = histogram.get_value_at_percentile(quantile) / _US_PER_MS
-        lines.append(f"caroblug_{name}_ms{_label_text(pairs)} {ms}")
+        lines.append(f"caroblug_{name}_ms{_format_labels(pairs)} {ms}")
     total = histogram.get_total_count()
-    lines.append(f"caroblug_{name}_ms_count{_label_text(labels)} {total}")
+    lines.append(f"caroblug_{name}_ms_count{_format_labels(labels)} {total}")
     lines.append(
-        f"caroblug_{name}_ms_sum{_label_text(labels)} {latency.total_ms}"
+        f"caroblug_{name}_ms_sum{_format_labels(labels)} {latency.total_ms}"
     )
     encoded = histogram.encode().decode()
     lines.append(
-        f"{_HDR_COMMENT} caroblug_{name}_ms{_label_text(labels)} {encoded}"
+        f"{_HDR_PREFIX} caroblug_{name}_ms{_format_labels(labels)} {encoded}"
     )
     return lines
 
 
-def _label_text(labels: Labels) -> str:
+def _format_labels(labels: Labels) -> str:
     if not labels:
         return ""
     inner = ",".join(f'{key}="{value}"' for key, value in labels)
--- a/caroblug/utils/_ranges.py
+++ b/caroblug/utils/_ranges.py
@@ -17,7 +17,7 @@
     """A value that its field does not allow."""
 
 
-def out_of_range(
+def find_out_of_range(
     table: dict[str, Any], cls: type, file: str, path: tuple[str, ...] = ()
 ) -> list[SettingProblem]:
     """Returns a problem for each value that its field does not allow.
@@ -37,12 +37,12 @@
         where = (*path, field.name)
         check = field.metadata.get("check")
         if check is not None and not check(value):
-            problems.append(_problem(field, value, file, where))
-        problems += _inside(hints[field.name], value, file, where)
+            problems.append(_make_problem(field, value, file, where))
+        problems += _check_nested(hints[field.name], value, file, where)
     return problems
 
 
-def _problem(
+def _make_problem(
     field: attrs.Attribute, value: Any, file: str, path: tuple[str, ...]
 ) -> SettingProblem:
     message = f"must be {field.metadata['allowed']}"
@@ -51,26 +51,26 @@
     return SettingProblem(file, ".".join(path), message)
 
 
-def _inside(
+def _check_nested(
     hint: Any, value: Any, file: str, path: tuple[str, ...]
 ) -> list[SettingProblem]:
     """Looks into nested tables, tables of tables and lists of tables."""
     arguments = typing.get_args(hint)
     origin = typing.get_origin(hint)
     if origin in (types.UnionType, typing.Union):
-        return _inside(arguments[0], value, file, path)
+        return _check_nested(arguments[0], value, file, path)
     if origin is dict and isinstance(value, dict):
         items = [(str(key), item) for key, item in value.items()]
-        return _each(arguments[1], items, file, path)
+        return _check_items(arguments[1], items, file, path)
     if origin is list and isinstance(value, list):
         items = [(str(index), item) for index, item in enumerate(value)]
-        return _each(arguments[0], items, file, path)
+        return _check_items(arguments[0], items, file, path)
     if attrs.has(hint) and isinstance(value, dict):
-        return out_of_range(value, hint, file, path)
+        return find_out_of_range(value, hint, file, path)
     return []
 
 
-def _each(
+def _check_items(
     hint: Any,
     items: list[tuple[str, Any]],
     file: str,
@@ -78,5 +78,5 @@
 ) -> list[SettingProblem]:
     problems = []
     for key, item in items:
-        problems += _inside(hint, item, file, (*path, key))
+        problems += _check_nested(hint, item, file, (*path, key))
     return problems
--- a/caroblug/utils/_settings.py
+++ b/caroblug/utils/_settings.py
@@ -12,13 +12,13 @@
     IterableValidationError,
 )
 
-from caroblug.utils._ranges import OutOfRangeError, out_of_range
+from caroblug.utils._ranges import OutOfRangeError, find_out_of_range
 from caroblug.utils._settings_problems import SettingProblem, SettingsRejected
 
 _T = TypeVar("_T")
 
 
-def _strict(kind: type) -> Any:
+def _make_strict_hook(kind: type) -> Any:
     def _structure(value: Any, _: type) -> Any:
         if type(value) is kind or (kind is float and type(value) is int):
             return value
@@ -30,14 +30,14 @@
 def _make_converter() -> cattrs.Converter:
     converter = cattrs.Converter(forbid_extra_keys=True)
     for kind in (int, str, bool, float):
-        converter.register_structure_hook(kind, _strict(kind))
+        converter.register_structure_hook(kind, _make_strict_hook(kind))
     return converter
 
 
 _CONVERTER = _make_converter()
 
 
-def _message_of(error: BaseException) -> str:
+def _describe_error(error: BaseException) -> str:
     if isinstance(error, KeyError):
         return "is missing"
     if isinstance(error, AttributeError):
@@ -45,7 +45,7 @@
     return str(error)
 
 
-def _walk(
+def _collect_problems(
     error: BaseException, file: str, path: tuple[str, ...]
 ) -> list[SettingProblem]:
     if isinstance(error, ForbiddenExtraKeysError):
@@ -59,14 +59,14 @@
             for key in sorted(error.extra_fields)
         ]
     if isinstance(error, (ClassValidationError, IterableValidationError)):
-        return _walk_group(error, file, path)
+        return _collect_group_problems(error, file, path)
     if isinstance(error, OutOfRangeError):
-        return []  # `out_of_range` names it with its own key.
+        return []  # `find_out_of_range` names it with its own key.
     where = ".".join(path) or "(top)"
-    return [SettingProblem(file, where, _message_of(error))]
+    return [SettingProblem(file, where, _describe_error(error))]
 
 
-def _walk_group(
+def _collect_group_problems(
     group: ClassValidationError | IterableValidationError,
     file: str,
     path: tuple[str, ...],
@@ -83,7 +83,7 @@
                 inner = (*path, str(note.index))
         if secret and isinstance(error, TypeError):
             error = TypeError("must be text")
-        problems.extend(_walk(error, file, inner))
+        problems.extend(_collect_problems(error, file, inner))
     return problems
 
 
@@ -112,11 +112,11 @@
     try:
         return _CONVERTER.structure(table, cls)
     except (ClassValidationError, IterableValidationError) as error:
-        problems = _walk(error, file, ())
+        problems = _collect_problems(error, file, ())
     named = {problem.key for problem in problems}
     problems += [
         problem
-        for problem in out_of_range(table, cls, file)
+        for problem in find_out_of_range(table, cls, file)
         if problem.key not in named
     ]
     return SettingsRejected(tuple(problems))
