--- a/caroblug/cli/__init__.py
+++ b/caroblug/cli/__init__.py
@@ -1,1 +1,4 @@
-"""The command-line programs; each patches the standard library first."""
+"""Command-line programs.
+
+Those that use gevent patch the standard library before any other import.
+"""
--- a/caroblug/cli/bundle.py
+++ b/caroblug/cli/bundle.py
@@ -1,4 +1,4 @@
-"""`caroblug-bundle`: the operators' tool."""
+"""Entry point of `caroblug-bundle`, the operators' tool for bundles."""
 
 from gevent import monkey
 
--- a/caroblug/cli/entry.py
+++ b/caroblug/cli/entry.py
@@ -1,4 +1,4 @@
-"""`caroblug-entry`: an instance between callers and engines."""
+"""Entry point of `caroblug-entry`, an instance between callers and engines."""
 
 from gevent import monkey
 
--- a/caroblug/cli/explain.py
+++ b/caroblug/cli/explain.py
@@ -1,4 +1,4 @@
-"""`caroblug-explain`: what happened, from log lines."""
+"""Entry point of `caroblug-explain`, which analyses log lines."""
 
 import sys
 
--- a/caroblug/cli/report.py
+++ b/caroblug/cli/report.py
@@ -1,4 +1,4 @@
-"""`caroblug-report`: service-level burn."""
+"""Entry point of `caroblug-report`, which reports error-budget burn."""
 
 from gevent import monkey
 
--- a/caroblug/cli/side.py
+++ b/caroblug/cli/side.py
@@ -1,4 +1,4 @@
-"""`caroblug-side`: the process beside one backend server."""
+"""Entry point of `caroblug-side`, the process beside one backend server."""
 
 from gevent import monkey
 
--- a/caroblug/lazy.py
+++ b/caroblug/lazy.py
@@ -1,7 +1,7 @@
-"""Packages whose names are imported when they are first used.
+"""Lazy imports: loads a package's public names on first access.
 
-A program pays at its start only for the modules that it uses: while a gateway
-starts, callers wait.
+A program then imports only the modules that it uses, which shortens its start.
+Callers wait while a gateway starts.
 """
 
 import importlib
@@ -13,11 +13,14 @@
 def make_lazy_exports(
     package: str, modules: dict[str, str]
 ) -> tuple[Callable[[str], Any], Callable[[], list[str]], list[str]]:
-    """Returns what a package sets as `__getattr__`, `__dir__` and `__all__`.
+    """Returns `__getattr__`, `__dir__` and `__all__` of a lazy package.
 
     Args:
         package: Name of the package.
-        modules: Module of the package for each public name.
+        modules: Submodule that defines each public name.
+
+    Returns:
+        The two functions and the list, in this order.
     """
     names = sorted(modules)
 
--- a/caroblug/listening.py
+++ b/caroblug/listening.py
@@ -1,27 +1,27 @@
-"""Listening before the rest of the program is loaded.
+"""Opens listening sockets before the rest of the program is imported.
 
-Loading takes some 0.2 s of processor time. Guards against callers that come in
-that time after all gateways were killed at once: a port without a listener
-refuses them, and a caller that was refused twice gives up. The kernel accepts
-for a socket that listens, and the request is answered once the program runs.
+Imports take about 0.2 s of processor time. After all gateways were killed at
+once, a port without a listener would refuse connections during that time, and
+a caller that is refused twice gives up. The kernel completes connections to a
+listening socket, and the program answers their requests once it runs.
 """
 
 import socket
 
 BACKLOG = 1024
-"""Connections that may wait to be accepted."""
+"""Maximum number of connections that wait to be accepted."""
 
 _listeners: dict[tuple[str, int], socket.socket] = {}
 
 
 def open_listener(address: tuple[str, int]) -> None:
-    """Begins to listen at an address, for `take_listener` to go on with.
+    """Opens a listening socket and stores it for `take_listener`.
 
     Args:
         address: Host and port.
 
     Raises:
-        OSError: If nobody may listen there.
+        OSError: If the address cannot be bound.
     """
     listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
@@ -35,5 +35,5 @@
 
 
 def take_listener(address: tuple[str, int]) -> socket.socket | None:
-    """Returns the socket that listens at an address, if one is held."""
+    """Removes and returns the stored listening socket of an address, if any."""
     return _listeners.pop(address, None)
--- a/caroblug/utils/__init__.py
+++ b/caroblug/utils/__init__.py
@@ -1,7 +1,7 @@
-"""Helpers shared by every package: time, outcomes, settings, metrics.
+"""Shared helpers: clocks, refusals, settings, logging and metrics.
 
-Names are imported when they are first used: settings and metrics bring
-libraries that a program which only needs the clock would pay for at its start.
+Names are imported on first access. Settings and metrics depend on libraries
+that would slow the start of a program which needs only the clock.
 """
 
 from caroblug.lazy import make_lazy_exports
--- a/caroblug/utils/_clock.py
+++ b/caroblug/utils/_clock.py
@@ -1,4 +1,4 @@
-"""Time in whole milliseconds, from a clock that never goes back."""
+"""Clocks that return whole milliseconds and never go backwards."""
 
 import abc
 import time
@@ -15,41 +15,49 @@
 
 
 class MonotonicClock(Clock):
-    """The instance's monotonic clock; a paused process sees the jump."""
+    """Monotonic clock of the operating system.
+
+    It goes on while the process is stopped, and stands still while the machine
+    is suspended.
+    """
 
     def now_ms(self) -> int:
-        """Returns milliseconds since the instance booted."""
+        """Returns milliseconds since the machine booted."""
         return time.monotonic_ns() // _NANOSECONDS_PER_MS
 
 
 class ManualClock(Clock):
-    """A clock that moves only when told to, for tests.
+    """Clock for tests that changes only by `advance`.
 
     Args:
-        now_ms: First reading.
+        now_ms: Initial time.
     """
 
     def __init__(self, now_ms: int = 0) -> None:
         self._now_ms = now_ms
 
     def now_ms(self) -> int:
-        """Returns the time that was last set."""
+        """Returns the initial time plus all advances."""
         return self._now_ms
 
     def advance(self, ms: int) -> None:
-        """Moves the clock forward by `ms` milliseconds."""
+        """Moves the clock forward by `ms` milliseconds.
+
+        Raises:
+            ValueError: If `ms` is negative.
+        """
         if ms < 0:
             raise ValueError(f"ms must be >= 0, got {ms}")
         self._now_ms += ms
 
 
 class BoottimeClock(Clock):
-    """A clock that counts the time in which the instance was suspended.
+    """Monotonic clock that includes the time of machine suspensions.
 
-    Guards against a lease, a deadline or an age that looks young after the
-    instance slept: the monotonic clock stands still meanwhile.
+    `MonotonicClock` stands still during a suspension: a lease, a deadline or an
+    age measured with it would look too young afterwards.
     """
 
     def now_ms(self) -> int:
-        """Returns milliseconds since the instance booted, sleep included."""
+        """Returns milliseconds since boot, including suspensions."""
         return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // _NANOSECONDS_PER_MS
--- a/caroblug/utils/_logging.py
+++ b/caroblug/utils/_logging.py
@@ -1,4 +1,4 @@
-"""Eliot logs: one JSON line for each change of state."""
+"""Structured logs with Eliot: one JSON line for each change of state."""
 
 import sys
 from typing import Any
@@ -7,7 +7,7 @@
 
 
 def start_logging(program: str, instance: str) -> None:
-    """Sends log lines to standard error.
+    """Writes the log lines of the process to standard error.
 
     Args:
         program: Name of the program, added to each line.
@@ -18,10 +18,10 @@
 
 
 def log_state(kind: str, /, **fields: Any) -> None:
-    """Writes one line for a change of state.
+    """Writes a log line for a change of state.
 
     Args:
         kind: Dotted name of the change.
-        **fields: Values of the change; never a secret.
+        **fields: Values that describe the change; must not contain secrets.
     """
     eliot.log_message(message_type=kind, **fields)
--- a/caroblug/utils/_metrics.py
+++ b/caroblug/utils/_metrics.py
@@ -1,4 +1,4 @@
-"""Counters and gauges by prometheus_client, latencies by hdrhistogram."""
+"""Metrics of a process: Prometheus counters and gauges, HDR histograms."""
 
 from collections.abc import Callable
 
@@ -20,12 +20,12 @@
 
 
 class _LatencyHistogram:
-    """One histogram, and the latencies not yet in it.
+    """Histogram of latencies with a buffer of values not yet recorded.
 
-    The clock counts whole milliseconds, so that few values differ; recording
-    equal ones together costs a tenth of recording each in the histogram. The
-    sum is kept beside it: hdrhistogram finds its mean by walking every bucket,
-    which was most of the cost of reading `/metrics`.
+    The clock counts whole milliseconds, so that few values differ. Recording
+    equal values together costs a tenth of recording each of them. The sum is
+    a separate attribute because hdrhistogram computes its mean by iterating
+    over every bucket, which was most of the cost of reading `/metrics`.
 
     Attributes:
         total_ms: Sum of the latencies in the histogram.
@@ -46,7 +46,7 @@
             self.flush()
 
     def flush(self) -> HdrHistogram:
-        """Returns the histogram with every latency in it."""
+        """Records all buffered latencies and returns the histogram."""
         for ms, times in self._pending.items():
             us = min(max(int(ms * _US_PER_MS), _LOWEST_US), _HIGHEST_US)
             self._histogram.record_value(us, times)
@@ -56,10 +56,11 @@
 
 
 class Metrics:
-    """The counters, gauges and latencies of one process.
+    """Counters, gauges and latencies of one process.
 
-    Counters and gauges are created on first use; label names must then stay
-    the same. Latencies are recorded in milliseconds and kept to three digits.
+    Counters and gauges are created on first use. Later calls must use the same
+    label names. Latencies are recorded in milliseconds with a precision of
+    three significant digits.
     """
 
     def __init__(self) -> None:
@@ -94,7 +95,7 @@
         self.recorder(name, **labels)(ms)
 
     def recorder(self, name: str, **labels: str) -> Callable[[float], None]:
-        """Returns what records one latency, for use again and again."""
+        """Returns a reusable function that records a latency in ms."""
         key = (name, tuple(labels.items()))
         latency = self._latencies.get(key)
         if latency is None:
@@ -102,26 +103,26 @@
         return latency.record_ms
 
     def count_account_failure(self, client_account: str) -> None:
-        """Counts a request of an account that failed.
+        """Counts a failed request of a client account.
 
-        Only the accounts with the most are kept: a counter for each of
-        18,000 accounts would be most of the page.
+        Only the accounts with the highest counts are retained: a counter for
+        each of 18,000 accounts would make up most of the page.
         """
         self._bad_by_account.add(client_account)
 
     def value(self, name: str, **labels: str) -> float:
-        """Returns a counter's value, 0 if it was never counted."""
+        """Returns the value of a counter; 0 if it does not exist."""
         found = self._registry.get_sample_value(
             f"caroblug_{name}_total", labels
         )
         return found or 0.0
 
     def expose(self) -> bytes:
-        """Returns all metrics as Prometheus text.
+        """Returns all metrics in the Prometheus text format.
 
-        Each latency is a summary; a comment line `# HDR` carries the whole
-        histogram (hdrhistogram's V2 encoding, microseconds), so that a report
-        can merge instances without loss.
+        Each latency is a summary. A comment line `# HDR` adds the whole
+        histogram in microseconds (hdrhistogram's V2 encoding), so that a
+        report can merge the histograms of instances without loss.
         """
         text = prometheus_client.generate_latest(self._registry)
         lines = _account_lines(self._bad_by_account.counts)
--- a/caroblug/utils/_outcomes.py
+++ b/caroblug/utils/_outcomes.py
@@ -1,11 +1,11 @@
-"""Outcomes that are not successes, as values."""
+"""Value types for refused requests."""
 
 import dataclasses
 import enum
 
 
 class ExecutionStatus(enum.StrEnum):
-    """Whether the work behind a refused request has run."""
+    """Whether the work of a refused request was executed."""
 
     NO = "no"
     YES = "yes"
@@ -13,7 +13,7 @@
 
 
 class RefusalType(enum.StrEnum):
-    """The kinds of refusal that a caller can meet."""
+    """Reasons for which a caller's request can be refused."""
 
     BAD_REQUEST = "bad_request"
     UNAUTHENTICATED = "unauthenticated"
@@ -36,13 +36,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refused:
-    """A request that is given up, with its final answer.
+    """Final answer to a request that is not served.
 
     Attributes:
         type: Kind of refusal.
-        message: What happened, for the caller; holds no secret.
-        ran: `ExecutionStatus.NO` only where it is proved that nothing ran.
-        retry_after_ms: When to come back; 0 means never with this request.
+        message: Description for the caller; contains no secret.
+        ran: `ExecutionStatus.NO` only if it is certain that nothing ran.
+        retry_after_ms: Time until the caller may retry; 0 means that it should
+            not retry this request.
     """
 
     type: RefusalType
@@ -64,4 +65,4 @@
         RefusalType.NOT_FOUND,
     }
 )
-"""Refusals that the caller brought about; they spend no budget."""
+"""Refusals caused by the caller; they do not consume the error budget."""
--- a/caroblug/utils/_ranges.py
+++ b/caroblug/utils/_ranges.py
@@ -1,7 +1,7 @@
-"""Finds every value out of its range in a parsed TOML table.
+"""Finds every out-of-range value in a parsed TOML table.
 
-attrs stops at the first value that a class refuses; whoever writes settings
-wants to hear of all of them at once.
+attrs stops at the first value that a class rejects. The operator who edits a
+settings file needs all of them at once.
 """
 
 import types
@@ -14,7 +14,7 @@
 
 
 class OutOfRangeError(ValueError):
-    """A value that its field does not allow."""
+    """Raised by a field's validator for a value that it does not allow."""
 
 
 def find_out_of_range(
@@ -24,9 +24,12 @@
 
     Args:
         table: The parsed table.
-        cls: The attrs class that it is to become.
-        file: Name to give in messages.
+        cls: The attrs class that describes the table.
+        file: File name for messages.
         path: Keys that lead to the table.
+
+    Returns:
+        The problems, in the order of the class's fields.
     """
     problems = []
     hints = typing.get_type_hints(cls)
@@ -54,7 +57,7 @@
 def _check_nested(
     hint: Any, value: Any, file: str, path: tuple[str, ...]
 ) -> list[SettingProblem]:
-    """Looks into nested tables, tables of tables and lists of tables."""
+    """Checks nested tables, tables of tables and lists of tables."""
     arguments = typing.get_args(hint)
     origin = typing.get_origin(hint)
     if origin in (types.UnionType, typing.Union):
--- a/caroblug/utils/_settings.py
+++ b/caroblug/utils/_settings.py
@@ -1,4 +1,4 @@
-"""TOML tables structured into attrs classes, reporting every mistake."""
+"""Loads TOML settings into attrs classes and reports every mistake."""
 
 import pathlib
 import tomllib
@@ -61,7 +61,7 @@
     if isinstance(error, (ClassValidationError, IterableValidationError)):
         return _collect_group_problems(error, file, path)
     if isinstance(error, OutOfRangeError):
-        return []  # `find_out_of_range` names it with its own key.
+        return []  # `find_out_of_range` reports it under its own key.
     where = ".".join(path) or "(top)"
     return [SettingProblem(file, where, _describe_error(error))]
 
@@ -88,7 +88,7 @@
 
 
 def _is_secret(group: BaseException, name: str) -> bool:
-    """Tells whether a field's value must not show in messages."""
+    """Returns whether messages must not contain a field's value."""
     cls = getattr(group, "cl", None)
     if cls is None or not attrs.has(cls):
         return False
@@ -104,7 +104,7 @@
     Args:
         table: The parsed table.
         cls: The attrs class to build.
-        file: Name to give in messages.
+        file: File name for messages.
 
     Returns:
         An instance of `cls`, or every mistake found.
@@ -126,12 +126,12 @@
     """Reads a TOML file into an attrs class.
 
     Args:
-        path: The file.
+        path: Path of the file.
         cls: The attrs class to build.
 
     Returns:
-        An instance of `cls`, or every mistake found; a file that cannot be
-        read or parsed is one mistake.
+        An instance of `cls`, or every mistake found. A file that cannot be
+        read or parsed counts as one mistake.
     """
     file = pathlib.Path(path).name
     try:
--- a/caroblug/utils/_settings_problems.py
+++ b/caroblug/utils/_settings_problems.py
@@ -1,4 +1,4 @@
-"""Mistakes in TOML files, as values."""
+"""Value types for mistakes in TOML files."""
 
 import dataclasses
 
@@ -10,7 +10,7 @@
     Attributes:
         file: Name of the file.
         key: Dotted path of the key.
-        message: The value found and what is allowed.
+        message: What is wrong, with the allowed values where there are any.
     """
 
     file: str
@@ -23,10 +23,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SettingsRejected:
-    """A TOML file with mistakes.
+    """Result of loading a TOML file that contains mistakes.
 
     Attributes:
-        problems: Every mistake found, in the file's order.
+        problems: Every mistake found.
     """
 
     problems: tuple[SettingProblem, ...]
--- a/caroblug/utils/_top.py
+++ b/caroblug/utils/_top.py
@@ -1,4 +1,4 @@
-"""The keys that were counted most often, in bounded memory.
+"""Counts the most frequent keys in bounded memory.
 
 References:
     Metwally et al., "Efficient Computation of Frequent and Top-k Elements in
@@ -7,13 +7,14 @@
 
 
 class TopCounter:
-    """Counts keys, keeping only as many as it has room for.
+    """Approximate counts of the most frequent keys.
 
-    A new key takes the place, and the count, of the least one: a count is
-    never below the true one, and over it by at most the least count kept.
+    At capacity, a new key replaces the key with the lowest count and inherits
+    that count. A count is therefore never below the true one, and exceeds it
+    by at most the lowest retained count.
 
     Args:
-        capacity: Keys kept, at least 1.
+        capacity: Maximum number of retained keys, at least 1.
     """
 
     def __init__(self, capacity: int) -> None:
@@ -22,11 +23,11 @@
 
     @property
     def counts(self) -> dict[str, int]:
-        """The counts kept."""
+        """Copy of the retained counts by key."""
         return dict(self._counts)
 
     def add(self, key: str) -> None:
-        """Counts a key once more."""
+        """Adds one to the count of a key."""
         if key in self._counts:
             self._counts[key] += 1
             return
--- a/caroblug/utils/_validation.py
+++ b/caroblug/utils/_validation.py
@@ -1,8 +1,8 @@
-"""Fields of settings and bundles, each with its allowed values.
+"""Validated `attrs` fields for settings and bundles.
 
-Each function returns an `attrs` field whose validator rejects a value outside
-the range, and whose metadata describes the range for messages and for the
-settings reference.
+Each function returns a field whose validator rejects a value outside the
+allowed range. The field's metadata describes the range for messages and for
+the settings reference.
 """
 
 import math
@@ -63,7 +63,7 @@
 
 
 def duration_ms(doc: str, default: Any = attrs.NOTHING) -> Any:
-    """Returns a field for a duration in milliseconds, a week at most."""
+    """Returns a field for a duration in milliseconds, at most one week."""
     return count(1, _MAX_DURATION_MS, doc, default)
 
 
@@ -90,9 +90,10 @@
 
 
 def secret(doc: str, low: int, high: int = 4096) -> Any:
-    """Returns a field for a secret, empty if it is given another way.
+    """Returns a field for a secret that may be empty.
 
-    It is shown neither in a class's representation nor in messages.
+    It is empty where the secret is supplied in another way. The value appears
+    neither in the class's representation nor in messages.
     """
     allowed = f"text of {low} to {high} characters"
 
--- a/caroblug/utils/tests/test_logging.py
+++ b/caroblug/utils/tests/test_logging.py
@@ -1,4 +1,4 @@
-"""Tests of logs."""
+"""Tests for structured logging."""
 
 import eliot
 
@@ -6,10 +6,10 @@
 
 
 def test_any_field_name_may_be_used():
-    """A side process goes on without its watch on the engine.
+    """Guards against a TypeError for a field that is named like a parameter.
 
-    The engine is lost, the line about it has a field called `message`, and
-    the watching greenlet ended with a TypeError for it.
+    The line about a lost engine has a field `message`. The error ended the
+    greenlet that monitors the engine, and the side process went on without it.
     """
     lines = []
     eliot.add_destinations(lines.append)
@@ -17,6 +17,6 @@
         log_state("engine.lost", message="reset", kind="engine")
     finally:
         eliot.remove_destination(lines.append)
-    # Eliot also hands over what was logged before its first destination.
+    # Eliot also delivers lines that were logged before its first destination.
     (line,) = [x for x in lines if x["message_type"] == "engine.lost"]
     assert line["message"] == "reset"
--- a/caroblug/utils/tests/test_settings.py
+++ b/caroblug/utils/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Tests of settings: every mistake is named with its place."""
+"""Tests for settings: every mistake is reported with its file and key."""
 
 import attrs
 
--- a/caroblug/utils/tests/test_top.py
+++ b/caroblug/utils/tests/test_top.py
@@ -1,4 +1,4 @@
-"""Tests of counting the most frequent keys."""
+"""Tests for the counter of the most frequent keys."""
 
 import collections
 
