--- a/caroblug/explain/__init__.py
+++ b/caroblug/explain/__init__.py
@@ -1,4 +1,4 @@
-"""Telling from log lines what happened to a request, or what was believed."""
+"""Reconstructs requests, instance states and losses from log lines."""
 
 from caroblug.explain._commands import main
 from caroblug.explain._lines import LogLine, read_lines
--- a/caroblug/explain/_commands.py
+++ b/caroblug/explain/_commands.py
@@ -1,4 +1,4 @@
-"""The command line of `caroblug-explain`."""
+"""Command line of `caroblug-explain`."""
 
 import argparse
 import datetime
@@ -16,7 +16,11 @@
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Runs the program and returns its exit code."""
+    """Runs the program and returns its exit code.
+
+    Args:
+        arguments: Command-line arguments; those of the process if None.
+    """
     options = _make_parser().parse_args(arguments)
     with fileinput.input(options.files, encoding="utf-8") as files:
         lines = list(read_lines(files))
@@ -30,7 +34,7 @@
 def _make_parser() -> argparse.ArgumentParser:
     parser = argparse.ArgumentParser(
         "caroblug-explain",
-        description="Tells from instances' log lines what happened.",
+        description="Explains from instances' log lines what happened.",
     )
     parser.add_argument("--json", action="store_true", help="as JSON")
     commands = parser.add_subparsers(dest="command", required=True)
@@ -39,7 +43,7 @@
     )
     request.add_argument("id", help="the request's id")
     moment = commands.add_parser(
-        "moment", help="what each instance believed at a moment"
+        "moment", help="the state of each instance at a point in time"
     )
     moment.add_argument(
         "time", type=float, help="seconds since 1970, as `timestamp` in lines"
@@ -57,7 +61,7 @@
 def _print_request(lines: list[LogLine], request: str, as_json: bool) -> int:
     timeline = trace_request(lines, request)
     if not timeline:
-        print(f"no line names request {request}", file=sys.stderr)
+        print(f"no log line contains request {request}", file=sys.stderr)
         return _EXIT_NOT_FOUND
     if as_json:
         print(json.dumps([attrs.asdict(line) for line in timeline]))
@@ -75,7 +79,7 @@
 def _print_states(lines: list[LogLine], at_s: float, as_json: bool) -> int:
     beliefs = states_at(lines, at_s)
     if not beliefs:
-        print(f"no line is as old as {at_s}", file=sys.stderr)
+        print(f"no log line at or before {at_s}", file=sys.stderr)
         return _EXIT_NOT_FOUND
     if as_json:
         table = {name: attrs.asdict(b) for name, b in beliefs.items()}
--- a/caroblug/explain/_lines.py
+++ b/caroblug/explain/_lines.py
@@ -1,4 +1,4 @@
-"""Reading log lines of any number of instances."""
+"""Parses the log lines of any number of instances."""
 
 import json
 from collections.abc import Iterable, Iterator
@@ -13,14 +13,13 @@
 
 @attrs.frozen
 class LogLine:
-    """One line.
+    """A parsed log line.
 
     Attributes:
-        at_s: When it was written, in seconds since 1970, by the instance's
-            own clock.
-        instance: Who wrote it.
-        kind: Dotted name of what happened.
-        fields: Everything else it says.
+        at_s: Time in seconds since 1970, by the clock of the instance.
+        instance: Name of the instance that wrote the line.
+        kind: Dotted name of the event.
+        fields: All other fields.
     """
 
     at_s: float
@@ -30,10 +29,10 @@
 
 
 def read_lines(lines: Iterable[str]) -> Iterator[LogLine]:
-    """Yields the log lines among `lines`.
+    """Yields the parsed log lines among `lines`.
 
-    A line may have anything before its JSON, as when a collector puts a time
-    and a name there. Lines of other programs are passed over.
+    Text before the JSON object is ignored, such as a time and a name that a log
+    collector adds. Lines of other programs are skipped.
     """
     for text in lines:
         start = text.find("{")
@@ -48,5 +47,5 @@
                 {k: v for k, v in fields.items() if k not in _HEADER_FIELDS},
             )
         except (ValueError, KeyError, TypeError):
-            # Another program's line, or one that was cut; it tells nothing.
+            # The line is truncated or comes from another program.
             continue
--- a/caroblug/explain/_losses.py
+++ b/caroblug/explain/_losses.py
@@ -1,4 +1,4 @@
-"""Requests that were late, refused or failed, by what they have in common."""
+"""Groups late, refused and failed requests by outcome and cause."""
 
 import collections
 import re
@@ -11,20 +11,22 @@
 _ANSWER_KINDS = ("request", "request.failed")
 _STATUS_UNAVAILABLE = 503
 _VARIABLE_PARTS = re.compile(r"\bi-\w+|\b\d+ ms\b|\blayer \d+|\bevent \d+")
-"""What differs between reasons of the same kind: engines, times, positions."""
+"""Parts in which reasons of the same kind differ: engine names, times, layers
+and event numbers."""
 
 
 @attrs.frozen
 class Loss:
-    """Requests that were lost alike.
+    """Group of lost requests with the same outcome and cause.
 
     Attributes:
         outcome: `late`, `refused`, `failed` or `cut`.
-        cause: What held them up or ended them; empty if nothing was seen.
-        requests: How many.
-        engines: Engines concerned, most frequent first, with their number.
-        instances: The same for instances.
-        seconds: The same for moments, in whole seconds since 1970, by time.
+        cause: What delayed or ended the requests, with variable parts replaced
+            by `*`.
+        requests: Number of requests.
+        engines: Requests by engine, most frequent first.
+        instances: Requests by instance, most frequent first.
+        seconds: Requests by whole second since 1970, in order of time.
     """
 
     outcome: str
@@ -36,10 +38,13 @@
 
 
 def group_losses(lines: Iterable[LogLine]) -> list[Loss]:
-    """Returns losses by outcome and cause, most requests first.
+    """Groups lost requests by outcome and cause.
 
     Args:
-        lines: Lines of any number of instances.
+        lines: Log lines of any number of instances.
+
+    Returns:
+        The groups, largest first.
     """
     groups: dict[tuple[str, str], list[LogLine]] = collections.defaultdict(list)
     for line in lines:
--- a/caroblug/explain/_timelines.py
+++ b/caroblug/explain/_timelines.py
@@ -1,4 +1,4 @@
-"""Stories made of log lines."""
+"""Reconstructs the timeline of a request and the states of instances."""
 
 from collections.abc import Iterable
 from typing import Any
@@ -20,13 +20,13 @@
 
 @attrs.define
 class Belief:
-    """What one instance believed at a moment.
+    """State of one instance at a point in time, as its log lines describe it.
 
     Attributes:
-        instance: The instance.
-        values: What it last said of itself, by name.
-        lost: Dependencies that it had lost.
-        avoided: Backend servers that it took to be gone, and why.
+        instance: Name of the instance.
+        values: Last logged value of each state, by name.
+        lost: Reason for each dependency that was lost, by dependency.
+        avoided: Reason for each ejected backend server, by server.
     """
 
     instance: str
@@ -36,14 +36,17 @@
 
 
 def trace_request(lines: Iterable[LogLine], request: str) -> list[LogLine]:
-    """Returns what concerns a request, in order of time.
+    """Returns the log lines that concern a request, in order of time.
 
-    Besides its own lines these are the ones by which an instance that had it
-    gave up a backend server that the request was on.
+    Besides the request's own lines, these are the ejections and readmissions
+    of its backend servers that its instances logged while it ran.
 
     Args:
-        lines: Lines of any number of instances.
-        request: The request's id.
+        lines: Log lines of any number of instances.
+        request: Id of the request.
+
+    Returns:
+        The lines; none if no line has the request's id.
     """
     known = list(lines)
     own = [line for line in known if line.fields.get("request") == request]
@@ -75,11 +78,14 @@
 
 
 def states_at(lines: Iterable[LogLine], at_s: float) -> dict[str, Belief]:
-    """Returns what each instance believed at a moment.
+    """Returns the state of each instance at a point in time.
 
     Args:
-        lines: Lines of any number of instances.
-        at_s: The moment, in seconds since 1970.
+        lines: Log lines of any number of instances.
+        at_s: Point in time, in seconds since 1970.
+
+    Returns:
+        States by instance, without instances that have no earlier line.
     """
     beliefs: dict[str, Belief] = {}
     for line in sorted(lines, key=lambda line: line.at_s):
--- a/caroblug/explain/tests/test_explain.py
+++ b/caroblug/explain/tests/test_explain.py
@@ -1,4 +1,4 @@
-"""Stories from log lines of several instances."""
+"""Tests for timelines and states from the log lines of several instances."""
 
 import json
 
--- a/caroblug/explain/tests/test_losses.py
+++ b/caroblug/explain/tests/test_losses.py
@@ -1,4 +1,4 @@
-"""Sums of late, refused and failed requests."""
+"""Tests for grouping late, refused and failed requests."""
 
 import json
 
--- a/caroblug/report/__init__.py
+++ b/caroblug/report/__init__.py
@@ -1,4 +1,4 @@
-"""The report on service-level burn, from the instances' metrics."""
+"""Reports error-budget burn from the metrics of instances."""
 
 from caroblug.report._commands import run
 
--- a/caroblug/report/_burn.py
+++ b/caroblug/report/_burn.py
@@ -1,7 +1,8 @@
-"""Service-level burn over several windows.
+"""Computes error-budget burn rates over several windows.
 
 The burn rate is the share of bad requests divided by the share that the
-objective allows: at 1 the budget lasts exactly the objective's period.
+objective allows. At a rate of 1 the budget lasts exactly for the objective's
+period.
 
 References:
     Beyer et al., "The Site Reliability Workbook", 2018, chapter 5: alerts on
@@ -35,13 +36,14 @@
 
 @attrs.frozen
 class Window:
-    """A pair of windows that burn together.
+    """A long and a short window that are evaluated together.
 
     Attributes:
         name: `fast`, `slow` or `trend`.
         long_s: Length of the long window.
-        short_s: Length of the short window, which ends the alert soon.
-        rate: Burn rate at which the pair burns.
+        short_s: Length of the short window, which lets the alert end soon
+            after the burn has stopped.
+        rate: Burn rate that both windows must reach for an alert.
     """
 
     name: str
@@ -59,13 +61,17 @@
 
 @attrs.frozen
 class Tally:
-    """Requests of one objective and group in a window."""
+    """Counts of all and of bad requests of an objective in a window."""
 
     total: float
     bad: float
 
     def burn(self, share: float) -> float:
-        """Returns the burn rate against an objective's share of good."""
+        """Returns the burn rate.
+
+        Args:
+            share: Share of good requests that the objective demands.
+        """
         if not self.total:
             return 0.0
         return (self.bad / self.total) / (1 - share)
@@ -73,11 +79,11 @@
 
 @attrs.frozen
 class WindowBurn:
-    """Burn in one pair of windows.
+    """Burn rates in one pair of windows.
 
     Attributes:
-        window: The pair.
-        covered_s: How much of the long window the snapshots cover.
+        window: The pair of windows.
+        covered_s: Part of the long window that the snapshots cover.
         long: Burn rate over the long window.
         short: Burn rate over the short window.
     """
@@ -89,22 +95,22 @@
 
     @property
     def burning(self) -> bool:
-        """Whether both windows are at or over the rate."""
+        """Whether both windows have reached the rate."""
         return min(self.long, self.short) >= self.window.rate
 
 
 @attrs.frozen
 class Burn:
-    """Burn of one objective for one group of client accounts.
+    """Error-budget burn of one objective for one group of client accounts.
 
     Attributes:
         objective: The objective.
         group: Group of client accounts.
-        windows: Burn by pair of windows.
-        total: Requests over all snapshots.
-        bad: Those that were too slow or failed.
-        budget_left: Share of the period's budget not yet spent, at the
-            volume seen; below 0 when overspent.
+        windows: Burn rates by pair of windows.
+        total: Number of requests over all snapshots.
+        bad: Number of requests that were too slow or failed.
+        budget_left: Remaining share of the period's budget at the measured
+            request volume; negative if the budget is overspent.
     """
 
     objective: Objective
@@ -118,8 +124,8 @@
 def tally(page: Page, objective: Objective, group: str) -> Tally:
     """Counts the requests of an objective on a page of differences.
 
-    A request that failed counts as bad whatever time it took; one that its
-    caller got wrong or gave up does not.
+    A failed request is bad regardless of its latency. Requests that the caller
+    cancelled or that were refused because of the caller's error don't count.
     """
     series = Series(objective.measure, objective.service, group)
     counts = page.latencies.get(series, {})
@@ -134,7 +140,7 @@
 
 
 def _count_slow(counts: Counts, within_ms: int) -> float:
-    """Counts above the bound; a bucket that straddles it counts as slow."""
+    """Returns the count above a bound; a bucket that contains it is slow."""
     bound_us = within_ms * _US_PER_MS
     return float(sum(n for us, n in counts.items() if us > bound_us))
 
@@ -158,9 +164,9 @@
     """Returns the burn of every objective and group.
 
     Args:
-        snapshots: Oldest first, at least one. Before the first one nothing
-            is taken to have happened.
-        objectives: From the bundle.
+        snapshots: At least one snapshot, oldest first. Counts of the first of
+            several are the baseline; a single one is taken as a whole.
+        objectives: Objectives of the bundle.
     """
     parsed = [snapshot.pages() for snapshot in snapshots]
     times = [snapshot.time_s for snapshot in snapshots]
@@ -174,7 +180,13 @@
 
 
 class _WindowDifferences:
-    """Pages of differences by window length, each computed once."""
+    """Computes and caches differences over windows up to the last snapshot.
+
+    Args:
+        parsed: Pages by instance for each snapshot, oldest first.
+        times: Time of each snapshot in seconds.
+        since_start: All counts if there is only one snapshot, else None.
+    """
 
     def __init__(
         self,
@@ -188,7 +200,7 @@
         self._cache: dict[int, Page] = {}
 
     def over(self, length_s: float) -> tuple[Page, float]:
-        """Returns the differences over a window and the time it covers."""
+        """Returns the differences over a window and the time they cover."""
         if self._since_start is not None:
             return self._since_start, 0.0
         end_s = self._times[-1]
@@ -201,7 +213,10 @@
         return self._cache[index], min(length_s, end_s - self._times[index])
 
     def _sum(self, index: int) -> Page:
-        """Adds up the steps, so that a restart in any of them is seen."""
+        """Sums the differences between adjacent snapshots.
+
+        Restarts of an instance are detected between any two of them.
+        """
         total = Page({}, {}, {})
         for place in range(index, len(self._parsed) - 1):
             step = diff_pages(self._parsed[place], self._parsed[place + 1])
@@ -254,5 +269,8 @@
 
 
 def _fraction_of_period(covered_s: float) -> float:
-    """A single snapshot covers an unknown time, taken as the whole period."""
+    """Returns the share of the budget period that the snapshots cover.
+
+    A single snapshot covers an unknown time, which counts as the whole period.
+    """
     return min(1.0, covered_s / _BUDGET_PERIOD_S) if covered_s else 1.0
--- a/caroblug/report/_commands.py
+++ b/caroblug/report/_commands.py
@@ -1,4 +1,4 @@
-"""The command line of `caroblug-report`."""
+"""Command line of `caroblug-report`."""
 
 import argparse
 import json
@@ -33,16 +33,17 @@
 
 @attrs.frozen
 class _ReportFailure:
-    """The report can't be made."""
+    """Reason why the report can't be made."""
 
     message: str
 
 
 def scrape(addresses: list[str]) -> Snapshot | _ReportFailure:
-    """Reads `/metrics` of every address that answers.
+    """Reads `/metrics` of every address that responds.
 
-    An instance that is down must not hide the others' burn: it is named on
-    standard error, and only when none answers is there no report.
+    An instance that is down must not hide the burn of the others. It is
+    reported on standard error; the call fails only if no instance responds or
+    an address is malformed.
     """
     texts = {}
     for address in addresses:
@@ -55,16 +56,20 @@
         if isinstance(answer, HttpAnswer) and answer.status == _STATUS_OK:
             texts[address] = answer.body.decode()
         else:
-            print(f"{address}: gave no metrics", file=sys.stderr)
+            print(f"{address}: could not read /metrics", file=sys.stderr)
     if not texts:
-        return _ReportFailure("no instance gave its metrics")
+        return _ReportFailure("could not read the metrics of any instance")
     return Snapshot(time.time(), texts)
 
 
 def run(arguments: list[str] | None = None) -> int:
-    """Makes the report and returns the exit code.
+    """Writes the report and returns the exit code.
 
-    0: no fast window burns; 1: one does; 2: the report can't be made.
+    Args:
+        arguments: Command-line arguments; those of the process if None.
+
+    Returns:
+        0 if no fast window burns, 1 if one does, 2 if the report can't be made.
     """
     options = _make_parser().parse_args(arguments)
     if not options.instance and not options.snapshots:
@@ -94,7 +99,7 @@
         burns = compute_burn(snapshots, objectives)
         total = diff_pages({}, snapshots[-1].pages())
     except ValueError as error:
-        return _print_failure(_ReportFailure(f"a page does not parse: {error}"))
+        return _print_failure(_ReportFailure(f"invalid metrics page: {error}"))
     _write(options, burns, total)
     burning = any(
         item.burning and item.window.name == _FAST_WINDOW
@@ -141,7 +146,7 @@
     elif options.format == "json":
         report = json.dumps(to_json(burns, total.accounts)) + "\n"
     else:
-        # Drawing is slow to import, and only this format needs the extra.
+        # matplotlib is slow to import, and only this format needs the extra.
         from caroblug.report._html import to_html
 
         report = to_html(burns, total, total.accounts)
@@ -159,7 +164,7 @@
 def _make_parser() -> argparse.ArgumentParser:
     parser = argparse.ArgumentParser(
         "caroblug-report",
-        description="Reports the burn of service-level budgets.",
+        description="Reports the burn of error budgets.",
     )
     parser.add_argument(
         "--version", action="version", version=caroblug.__version__
@@ -173,24 +178,24 @@
     parser.add_argument(
         "--bundle",
         metavar="BUNDLE.toml",
-        help="the bundle that holds the objectives",
+        help="bundle that contains the objectives",
     )
     parser.add_argument(
         "--snapshots",
         metavar="FOLDER",
-        help="read the snapshots kept there, and add one if instances are "
+        help="folder of snapshots to read; a new one is added if instances are "
         "given",
     )
     parser.add_argument(
         "--format", choices=("text", "json", "html"), default="text"
     )
-    parser.add_argument("--out", metavar="FILE", help="write there")
+    parser.add_argument("--out", metavar="FILE", help="output file")
     parser.add_argument(
         "--watch",
         nargs="?",
         type=float,
         const=_DEFAULT_WATCH_S,
         metavar="SECONDS",
-        help="report again and again",
+        help="repeat the report at this interval",
     )
     return parser
--- a/caroblug/report/_html.py
+++ b/caroblug/report/_html.py
@@ -1,6 +1,6 @@
-"""The report as one HTML file with its plots inside.
+"""Formats the report as one HTML file with embedded plots.
 
-Needs the `html` extra: matplotlib draws, jinja2 fills the page in.
+Requires the `html` extra, which installs matplotlib and jinja2.
 """
 
 import io
@@ -57,12 +57,12 @@
 def to_html(
     burns: Sequence[Burn], page: Page, accounts: Mapping[str, float]
 ) -> str:
-    """Returns the whole page; it refers to nothing outside itself.
+    """Returns the report as an HTML page without external references.
 
     Args:
         burns: Burn of every objective and group.
-        page: All instances' counts, added up.
-        accounts: Bad requests by client account.
+        page: Sums of the counts of all instances.
+        accounts: Failed requests by client account.
     """
     plots = [_plot(measure, page) for measure in _measures(page)]
     return _PAGE.render(
@@ -75,7 +75,7 @@
 
 
 def _plot(measure: str, page: Page) -> str:
-    """Returns an SVG of the share of requests over their latency."""
+    """Returns an SVG with the cumulative share of requests by latency."""
     drawing = figure.Figure(figsize=(_WIDTH_IN, _HEIGHT_IN))
     axes = drawing.subplots()
     for series, counts in sorted(page.latencies.items(), key=str):
--- a/caroblug/report/_pages.py
+++ b/caroblug/report/_pages.py
@@ -19,7 +19,7 @@
 
 @attrs.frozen
 class Series:
-    """Which requests a histogram or counter is about.
+    """Identifies a histogram or counter by name and labels.
 
     Attributes:
         measure: Name of the latency or counter, without prefix or unit.
@@ -36,12 +36,13 @@
 
 @attrs.frozen
 class Page:
-    """What one instance has counted since it started.
+    """Metrics of one instance since its start.
 
     Attributes:
-        latencies: Count by upper bound of the bucket in microseconds.
+        latencies: Counts by upper bound of the bucket in microseconds.
         counters: Value of each counter.
-        accounts: Slow or failed requests of the worst client accounts.
+        accounts: Failed requests by client account, for the accounts with the
+            most of them.
     """
 
     latencies: dict[Series, Counts]
@@ -50,10 +51,16 @@
 
 
 def parse_page(text: str) -> Page:
-    """Parses Prometheus text with `# HDR` lines.
+    """Parses a page in the Prometheus text format with `# HDR` lines.
+
+    Args:
+        text: The page.
+
+    Returns:
+        The parsed page.
 
     Raises:
-        ValueError: The text is not such a page.
+        ValueError: If the text is not such a page.
     """
     latencies = {}
     for line in text.splitlines():
@@ -66,10 +73,10 @@
 
 
 def decode_counts(data: str) -> Counts:
-    """Returns count by bucket of an encoded histogram.
+    """Returns the counts by bucket of an encoded histogram.
 
-    Buckets keep three digits, the precision at which latencies are recorded,
-    so that adding and subtracting them loses nothing.
+    Buckets have three significant digits, the precision at which latencies are
+    recorded, so that adding and subtracting counts loses nothing.
     """
     histogram = HdrHistogram(_LOWEST_US, _HIGHEST_US, _SIGNIFICANT_DIGITS)
     histogram.decode_and_add(data.encode())
--- a/caroblug/report/_snapshots.py
+++ b/caroblug/report/_snapshots.py
@@ -1,4 +1,4 @@
-"""Snapshots of many instances, and what happened between two of them."""
+"""Snapshots of instances' metrics and the differences between them."""
 
 import json
 import pathlib
@@ -16,23 +16,23 @@
 
 @attrs.frozen
 class Snapshot:
-    """The `/metrics` pages of several instances at about one time.
+    """The `/metrics` pages of several instances at about the same time.
 
     Attributes:
-        time_s: Seconds since the epoch.
-        texts: Page text by instance address.
+        time_s: Time in seconds since 1970.
+        texts: Text of the page by address of the instance.
     """
 
     time_s: float
     texts: Mapping[str, str]
 
     def pages(self) -> dict[str, Page]:
-        """Returns the parsed pages."""
+        """Returns the parsed pages by address of the instance."""
         return {name: parse_page(text) for name, text in self.texts.items()}
 
 
 def save_snapshot(snapshot: Snapshot, folder: pathlib.Path) -> pathlib.Path:
-    """Writes a snapshot into a folder and returns its path."""
+    """Writes a snapshot to a folder and returns the path of its file."""
     path = folder / f"{int(snapshot.time_s * 1000)}{_SUFFIX}"
     body = {"time_s": snapshot.time_s, "texts": dict(snapshot.texts)}
     path.write_text(json.dumps(body))
@@ -40,10 +40,11 @@
 
 
 def load_snapshots(folder: pathlib.Path) -> list[Snapshot]:
-    """Reads every snapshot of a folder, oldest first.
+    """Returns all snapshots in a folder, oldest first.
 
     Raises:
-        ValueError: A file is not a snapshot.
+        OSError: If a file can't be read.
+        ValueError: If a file is not a snapshot.
     """
     snapshots = []
     for path in sorted(folder.glob(f"*{_SUFFIX}")):
@@ -55,12 +56,19 @@
 
 
 def diff_pages(old: Mapping[str, Page], new: Mapping[str, Page]) -> Page:
-    """Returns what all instances counted between two snapshots.
+    """Returns the increases of all instances between two snapshots.
 
-    Guards against an instance that restarted in between, whose counts began
-    again at zero: a count that fell is taken whole, so that the window is
-    never negative and misses only what the old process did after its last
-    snapshot.
+    The counts of an instance that restarted in between began again at zero. If
+    any counter of an instance fell, all its new counts are taken as increases:
+    the result is never negative and lacks only what the old process counted
+    after its last snapshot.
+
+    Args:
+        old: Pages of the earlier snapshot, by instance.
+        new: Pages of the later snapshot, by instance.
+
+    Returns:
+        A page with the sums of the increases.
     """
     latencies: dict[Series, Counts] = {}
     counters: dict[Series, float] = {}
--- a/caroblug/report/_text.py
+++ b/caroblug/report/_text.py
@@ -1,4 +1,4 @@
-"""The report as text and as JSON."""
+"""Formats the report as text and as JSON."""
 
 from collections.abc import Mapping, Sequence
 from typing import Any
@@ -9,13 +9,13 @@
 
 
 def worst_accounts(accounts: Mapping[str, float]) -> list[tuple[str, float]]:
-    """Returns the accounts with the most bad requests, worst first."""
+    """Returns the accounts with the most failed requests, worst first."""
     ordered = sorted(accounts.items(), key=lambda item: (-item[1], item[0]))
     return ordered[:_MAX_WORST_ACCOUNTS]
 
 
 def to_text(burns: Sequence[Burn], accounts: Mapping[str, float]) -> str:
-    """Returns the report for a terminal."""
+    """Returns the report as text for a terminal."""
     lines = []
     for burn in burns:
         objective = burn.objective
@@ -43,7 +43,7 @@
 def to_json(
     burns: Sequence[Burn], accounts: Mapping[str, float]
 ) -> dict[str, Any]:
-    """Returns the report as one JSON object."""
+    """Returns the report as a JSON object."""
     return {
         "burns": [_burn_body(burn) for burn in burns],
         "worst_accounts": [
--- a/caroblug/report/tests/test_burn.py
+++ b/caroblug/report/tests/test_burn.py
@@ -1,4 +1,4 @@
-"""Tests of the report on service-level burn."""
+"""Tests for the report on error-budget burn."""
 
 import json
 
@@ -40,10 +40,10 @@
 
 
 def test_restart_is_not_negative():
-    """The report shows no requests for an hour in which many failed.
+    """Guards against an hour of failures that shows as no requests.
 
-    An instance counts, restarts, and counts from zero again; the fall of its
-    counters must not cancel what it counted since.
+    The counters of an instance that restarts begin again at zero. Their
+    decrease must not cancel what the instance counts afterwards.
     """
     before, after = make_metrics(), make_metrics()
     _count(before, 50, 90)
@@ -98,7 +98,7 @@
 
 
 def test_failures_without_a_latency_count():
-    """The report shows no burn while every request is refused at the door."""
+    """Guards against a report without burn while all requests are refused."""
     metrics = make_metrics()
     for outcome, times in (("answered", 6), ("overloaded", 3), ("bad", 1)):
         name = "bad_request" if outcome == "bad" else outcome
