--- a/caroblug/entry/_feed.py
+++ b/caroblug/entry/_stream_reader.py
@@ -1,4 +1,4 @@
-"""From a running stream to its caller, timed and always ended."""
+"""Passes the tokens of a running stream on to its HTTP response."""
 
 from collections.abc import Callable, Iterator
 
@@ -16,18 +16,30 @@
 )
 
 _MS_PER_S = 1000
-_NOT_BAD = {"answered", "cancelled", *CALLER_ERRORS}
+_NOT_COUNTED_AS_BAD = {"answered", "cancelled", *CALLER_ERRORS}
 _RETRY_AFTER_MS = 1000
-_DEADLINE = Refused(
+_DEADLINE_EXCEEDED = Refused(
     RefusalType.DEADLINE_EXCEEDED,
-    "the answer took too long",
+    "the deadline passed before the response was complete",
     ExecutionStatus.UNKNOWN,
     _RETRY_AFTER_MS,
 )
 
 
-class Feed:
-    """Iterates over what a stream releases; ends it whatever happens."""
+class StreamReader:
+    """Iterates over the tokens of a stream and records their latency.
+
+    Yields lists of tokens. A refusal, if there is one, comes last. The stream
+    ends when the iteration does, also on an error or when the caller
+    disconnects.
+
+    Args:
+        stream: The stream to read.
+        streams: The entry's streams, which end it.
+        permit: The request's permit.
+        clock: Source of time.
+        metrics: Where latencies and outcomes are recorded.
+    """
 
     def __init__(
         self,
@@ -42,17 +54,17 @@
         self._permit = permit
         self._clock = clock
         self._metrics = metrics
-        self._since_ms = 0
+        self._received_ms = 0
         self._group = ""
         self._closed = False
 
-    def begin(self, since_ms: int, group: str) -> None:
-        """Notes when the request came and under which group it counts."""
-        self._since_ms = since_ms
+    def start_timing(self, received_ms: int, group: str) -> None:
+        """Sets the start time and the group for this request's metrics."""
+        self._received_ms = received_ms
         self._group = group
 
     def __iter__(self) -> Iterator[list[int] | Refused]:
-        last_ms = self._since_ms
+        last_ms = self._received_ms
         record_ms = self._recorder("first_token")
         record_next_ms = self._recorder("between_tokens")
         outcome = "answered"
@@ -60,18 +72,18 @@
         deadline = self._start_deadline()
         try:
             while True:
-                part = output.get()
-                if part is None:
+                item = output.get()
+                if item is None:
                     break
-                if isinstance(part, Refused):
-                    outcome = part.type.value
-                    yield part
+                if isinstance(item, Refused):
+                    outcome = item.type.value
+                    yield item
                     break
                 self._permit.on_tokens()
                 now_ms = self._clock.now_ms()
                 record_ms(now_ms - last_ms)
                 record_ms, last_ms = record_next_ms, now_ms
-                yield part
+                yield item
         except GeneratorExit:
             outcome = "cancelled"
             raise
@@ -80,17 +92,21 @@
             self._finish(outcome)
 
     def close(self) -> None:
-        """Ends the stream and gives its place back; twice does nothing."""
+        """Ends the stream, which closes its permit; idempotent."""
         if self._closed:
             return
         self._closed = True
         self._streams.end(self.stream)
 
     def _start_deadline(self) -> gevent.Greenlet:
-        """Starts one timer for the whole stream: one a token costs 10 µs."""
+        """Starts a timer that ends the stream at its deadline.
+
+        There is one timer per stream because a timer costs 10 µs, which is
+        too much for each token.
+        """
         left_ms = max(0, self.stream.end_ms - self._clock.now_ms())
         return gevent.spawn_later(
-            left_ms / _MS_PER_S, self.stream.output.put, _DEADLINE
+            left_ms / _MS_PER_S, self.stream.output.put, _DEADLINE_EXCEEDED
         )
 
     def _recorder(self, name: str) -> Callable[[float], None]:
@@ -99,14 +115,14 @@
 
     def _finish(self, outcome: str) -> None:
         self.close()
-        self._recorder("request")(self._clock.now_ms() - self._since_ms)
+        self._recorder("request")(self._clock.now_ms() - self._received_ms)
         self._metrics.count(
             "requests",
             service=self.stream.request.model,
             group=self._group,
             outcome=outcome,
         )
-        if outcome not in _NOT_BAD:
+        if outcome not in _NOT_COUNTED_AS_BAD:
             self._metrics.count_account_failure(
                 self.stream.request.client_account
             )
--- a/caroblug/entry/_streams.py
+++ b/caroblug/entry/_streams.py
@@ -1,4 +1,4 @@
-"""The streams of one entry: attempts, tokens released, recovery."""
+"""Streams of an entry: attempts, token delivery and recovery."""
 
 import enum
 import secrets
@@ -10,10 +10,10 @@
 from caroblug.core.limits import RetryBudget
 from caroblug.core.recovery import EntryStream, StageFailure
 from caroblug.core.routing import Chain
-from caroblug.entry._chains import ChainPicker
-from caroblug.entry._directory import Directory
+from caroblug.entry._chain_picker import ChainPicker
+from caroblug.entry._directory import SideDirectory
+from caroblug.entry._quarantine import QuarantineClient
 from caroblug.entry._stream_request import StreamRequest
-from caroblug.entry._suspects import SuspectClient
 from caroblug.gen.wire import ttypes as wire
 from caroblug.transport import PeerAddress, PeerNetwork
 from caroblug.utils import (
@@ -25,25 +25,26 @@
     log_state,
 )
 
-_STREAM_BYTES = 8
+_STREAM_NAME_BYTES = 8
 _RETRY_AFTER_MS = 1000
-_UNREAD = Refused(
+_UNREAD_LIMIT_REACHED = Refused(
     RefusalType.LIMIT_REACHED,
-    "the caller does not read its answer",
+    "the caller is not reading the response",
     ExecutionStatus.YES,
     _RETRY_AFTER_MS,
 )
 
 
 class RunningStream:
-    """One stream and the queue by which its caller is fed.
+    """A stream and the output queue that its response reads.
 
-    The queue carries lists of tokens, in order, then None when the stream is
-    complete, or a `Refused` when it is given up.
+    The queue carries lists of tokens in order, then None when the stream is
+    complete or a `Refused` when it is aborted.
 
     Attributes:
-        wire_name: Its name at the stages. A fresh start takes another name,
-            so that no stage answers from what it has kept.
+        wire_name: Name of the stream at the stages. An attempt with a full
+            prefill uses another name, so that no stage responds from state
+            that it retains.
     """
 
     def __init__(self, name: str, request: StreamRequest, end_ms: int) -> None:
@@ -57,19 +58,19 @@
         self.excluded: set[str] = set()
         self.failures = 0
         self.output: queue.Queue = queue.Queue()
-        self.on_end: Callable[[], None] = _nothing
+        self.on_end: Callable[[], None] = _do_nothing
 
-    def rename(self) -> None:
-        """Takes the next name at the stages."""
+    def renew_wire_name(self) -> None:
+        """Replaces the name at the stages by one that is not in use."""
         self.wire_name = f"{self.name}-{self.tokens.attempt}"
 
 
-def _nothing() -> None:
+def _do_nothing() -> None:
     """Does nothing."""
 
 
-class RecoveryWay(enum.StrEnum):
-    """What is tried first when a stage is lost."""
+class RecoveryStrategy(enum.StrEnum):
+    """Strategy to try first when a stage is lost."""
 
     REPLACE_STAGE = "replace_stage"
     FULL_PREFILL = "full_prefill"
@@ -77,71 +78,80 @@
 
 @attrs.frozen
 class RecoveryPolicy:
-    """How streams are recovered.
+    """Policy for the recovery of streams.
 
     Attributes:
-        attempts: Attempts that may fail for one request.
-        way: What is tried first; the other way is the fallback.
-        budget: Grants each recovery.
+        attempts: Number of failures at which a request is aborted.
+        strategy: Strategy to try first. If no engine can replace a lost
+            stage, the stream moves to another chain.
+        budget: Retry budget that each recovery draws on.
     """
 
     attempts: int
-    way: RecoveryWay
+    strategy: RecoveryStrategy
     budget: RetryBudget
 
 
 class EntryStreams:
-    """Every stream of this entry.
+    """Opens, recovers and ends the streams of this entry.
 
     Args:
-        own: Reference by which sides reach this entry.
-        network: Where messages are sent.
-        directory: What is known of the engines.
-        picker: Picks chains.
+        own_ref: Reference by which side processes reach this entry.
+        network: Sends messages to side processes.
+        directory: The known engines.
+        picker: Selects chains.
         clock: Source of time.
         metrics: Where attempts are counted.
-        policy: How streams are recovered.
-        suspects: What is known of requests that crash engines.
+        policy: Policy for recovery.
+        quarantine: Requests that crash engines.
     """
 
     def __init__(
         self,
-        own: wire.StageRef,
+        own_ref: wire.StageRef,
         network: PeerNetwork,
-        directory: Directory,
+        directory: SideDirectory,
         picker: ChainPicker,
         clock: Clock,
         metrics: Metrics,
         policy: RecoveryPolicy,
-        suspects: SuspectClient,
+        quarantine: QuarantineClient,
     ) -> None:
-        self._own = own
+        self._own_ref = own_ref
         self._network = network
         self._directory = directory
         self._picker = picker
         self._clock = clock
         self._metrics = metrics
         self._policy = policy
-        self._suspects = suspects
+        self._quarantine = quarantine
         self._streams: dict[str, RunningStream] = {}
 
     def __len__(self) -> int:
         return len(self._streams)
 
     def start(self, request: StreamRequest) -> RunningStream | Refused:
-        """Opens a stream, or refuses it because no chain is there."""
-        name = secrets.token_hex(_STREAM_BYTES)
+        """Opens a stream at a chain of engines, or refuses the request.
+
+        Args:
+            request: The admitted request.
+
+        Returns:
+            The stream, or a refusal if the request is quarantined, no chain
+            is available or the deadline can't be met.
+        """
+        name = secrets.token_hex(_STREAM_NAME_BYTES)
         end_ms = self._clock.now_ms() + request.deadline_ms
         stream = RunningStream(name, request, end_ms)
-        chain = self._begin(request)
+        chain = self._select_chain(request)
         if isinstance(chain, Refused):
             return chain
         self._streams[name] = stream
         self._open(stream, chain)
         return stream
 
-    def _begin(self, request: StreamRequest) -> Chain | Refused:
-        quarantined = self._suspects.refusal(
+    def _select_chain(self, request: StreamRequest) -> Chain | Refused:
+        quarantined = self._quarantine.refusal(
             request.fingerprint, ExecutionStatus.NO
         )
         if quarantined is not None:
@@ -149,19 +159,22 @@
         chain = self._picker.pick(request, ())
         if chain is None:
             return _no_chain(ExecutionStatus.NO)
-        return self._picker.refuse_late(chain, request) or chain
+        return self._picker.refuse_unmeetable_deadline(chain, request) or chain
 
     def end(self, stream: RunningStream) -> None:
-        """Ends a stream at every stage; ending it twice does nothing."""
+        """Ends a stream at every stage; idempotent."""
         if self._streams.pop(stream.wire_name, None) is None:
             return
         stream.on_end()
-        self._use(stream, None)
+        self._switch_chain(stream, None)
         if stream.tokens.complete:
             self._policy.budget.on_success(stream.request.client_account)
 
     def on_token(self, token: wire.Token) -> None:
-        """Takes a token from a last stage, or sent again by a first."""
+        """Delivers a token from a last stage, or re-sent by a first stage.
+
+        Aborts the stream if its caller leaves too many tokens unread.
+        """
         stream = self._streams.get(token.stream)
         if stream is None or not stream.tokens.is_current(token.attempt):
             return
@@ -169,18 +182,19 @@
         if released:
             stream.output.put(released)
             length = token.position + 1
-            self._suspects.on_progress(stream.request.fingerprint, length)
+            self._quarantine.on_progress(stream.request.fingerprint, length)
         if stream.tokens.complete:
             stream.output.put(None)
             self.end(stream)
         elif stream.output.qsize() > stream.request.unread_tokens:
-            self._give_up(stream, _UNREAD)
+            self._abort(stream, _UNREAD_LIMIT_REACHED)
 
     def on_refusal(self, refusal: wire.StageRefusal) -> None:
-        """Takes a stage's refusal; an older attempt's is dropped.
+        """Recovers a stream that a stage refused, or moves it elsewhere.
 
-        A lost journal is nobody's fault: the stream begins afresh and the
-        stage that said so stays in use.
+        A refusal of an earlier attempt is ignored. A lost journal does not
+        mean that the stage is faulty: the stream restarts with a full
+        prefill and may use the stage again.
         """
         stream = self._streams.get(refusal.stream)
         if stream is None or not stream.tokens.is_current(refusal.attempt):
@@ -188,7 +202,7 @@
         self._metrics.count("stage_refusals", reason=refusal.reason)
         match refusal.reason:
             case StageFailure.HANDED_ON:
-                self._hand_on(stream, refusal.instance)
+                self._hand_over(stream, refusal.instance)
             case StageFailure.JOURNAL_LOST:
                 self._recover(stream, fresh=True)
             case StageFailure.PEER_UNREACHABLE:
@@ -202,21 +216,21 @@
                 self._recover(stream)
 
     def on_peer_lost(self, instance: str) -> None:
-        """Recovers every stream that had a stage there."""
+        """Recovers every stream that has a stage at a lost instance."""
         self._picker.on_peer_lost(instance)
         for stream in list(self._streams.values()):
             if instance in stream.chain.instances:
                 stream.excluded.add(instance)
                 self._recover(stream)
 
-    def _hand_on(self, stream: RunningStream, instance: str) -> None:
-        """Moves a stream off a leaving stage, if another can take it.
+    def _hand_over(self, stream: RunningStream, instance: str) -> None:
+        """Moves a stream from a draining stage to another engine.
 
-        If none can, the stream runs on where it is: the leaving stage waits
-        for it as long as it may.
+        If no engine can replace the stage, the stream continues there: a
+        draining stage waits for its streams as long as its drain time allows.
         """
         excluded = {*stream.excluded, instance}
-        chain = self._picker.replace(
+        chain = self._picker.replace_stages(
             stream.chain, stream.request.model, excluded
         )
         if chain is None:
@@ -227,30 +241,30 @@
         self._open(stream, chain)
 
     def _recover(self, stream: RunningStream, *, fresh: bool = False) -> None:
-        refused = self._may_recover(stream)
+        refused = self._check_recovery(stream)
         if refused is not None:
-            self._give_up(stream, refused)
+            self._abort(stream, refused)
             return
-        fresh = fresh or self._policy.way is RecoveryWay.FULL_PREFILL
+        fresh = fresh or self._policy.strategy is RecoveryStrategy.FULL_PREFILL
         chain = None
         if not fresh:
-            chain = self._picker.replace(
+            chain = self._picker.replace_stages(
                 stream.chain, stream.request.model, stream.excluded
             )
         if chain is None:
             chain = self._picker.pick(stream.request, stream.excluded)
         if chain is None:
-            self._give_up(stream, _no_chain(ExecutionStatus.UNKNOWN))
+            self._abort(stream, _no_chain(ExecutionStatus.UNKNOWN))
             return
         self._metrics.count("streams_recovered")
         self._open(stream, chain, fresh=fresh)
 
-    def _may_recover(self, stream: RunningStream) -> Refused | None:
-        """Counts a failure; refuses when no retry is left.
+    def _check_recovery(self, stream: RunningStream) -> Refused | None:
+        """Counts a failure and returns a refusal if no retry is allowed.
 
-        The caller gets its final answer at once, with when to come back.
+        The caller is refused at once, with a time after which to retry.
         """
-        quarantined = self._suspects.refusal(
+        quarantined = self._quarantine.refusal(
             stream.request.fingerprint, ExecutionStatus.UNKNOWN
         )
         if quarantined is not None:
@@ -279,13 +293,20 @@
     def _open(
         self, stream: RunningStream, chain: Chain, *, fresh: bool = False
     ) -> None:
-        """Opens the next attempt; a fresh one drops all that stages keep."""
+        """Opens the next attempt of a stream.
+
+        Args:
+            stream: The stream.
+            chain: The chain to open it at.
+            fresh: Whether to restart with a full prefill, without the state
+                that stages retain.
+        """
         if fresh:
             del self._streams[stream.wire_name]
-            self._use(stream, None)
-            stream.rename()
+            self._switch_chain(stream, None)
+            stream.renew_wire_name()
             self._streams[stream.wire_name] = stream
-        self._use(stream, chain)
+        self._switch_chain(stream, chain)
         attempt = stream.tokens.begin_attempt()
         if attempt > 1:
             log_state(
@@ -321,43 +342,48 @@
             max_length=stream.tokens.max_length,
             deadline_ms=max(1, stream.end_ms - self._clock.now_ms()),
             seed=request.seed,
-            entry=self._own,
+            entry=self._own_ref,
             weight=request.weight,
             account_weight=request.account_weight,
             fingerprint=request.fingerprint,
-            alone_until=self._suspects.alone_until(request.fingerprint),
+            alone_until=self._quarantine.isolate_until(request.fingerprint),
         )
 
-    def _use(self, stream: RunningStream, chain: Chain | None) -> None:
-        """Takes a chain into use and ends the stream where it has left.
+    def _switch_chain(self, stream: RunningStream, chain: Chain | None) -> None:
+        """Switches a stream to a chain and cancels it at stages not in it.
+
+        A cancel must not end a stage that remains in use. A replaced stage
+        therefore gets a cancel with the attempt that it knows, marked as not
+        to be forwarded. A cancel of the whole stream is also forwarded from
+        stage to stage. On each connection it then follows the open message
+        and can't overtake it.
 
-        Guards against a cancel that ends a stage which lives on: a stage
-        that was replaced is told by the attempt it knows, and does not pass
-        it along. A cancel of the whole stream is passed along, behind the
-        open message on each connection, lest it overtakes that.
+        Args:
+            stream: The stream.
+            chain: The new chain; None to end the stream.
         """
-        before, stream.chain = stream.chain, chain
+        previous, stream.chain = stream.chain, chain
         if chain is not None:
-            self._count(chain, 1)
-        if before is None:
+            self._count_streams(chain, 1)
+        if previous is None:
             return
-        self._count(before, -1)
-        kept = chain.instances if chain is not None else ()
+        self._count_streams(previous, -1)
+        remaining = chain.instances if chain is not None else ()
         message = wire.Cancel(
             stream.wire_name, stream.tokens.attempt, chain is not None
         )
-        for index, stage in enumerate(before.stages):
-            if stage.instance in kept:
+        for index, stage in enumerate(previous.stages):
+            if stage.instance in remaining:
                 continue
             if self._network.is_connected(stage.instance):
-                self._network.send(_address(before, index), message)
+                self._network.send(_address(previous, index), message)
 
-    def _count(self, chain: Chain, change: int) -> None:
+    def _count_streams(self, chain: Chain, change: int) -> None:
         self._directory.add_streams(chain.instances, change)
         for instance in chain.instances:
-            self._network.watch(instance, change)
+            self._network.add_in_flight(instance, change)
 
-    def _give_up(self, stream: RunningStream, refused: Refused) -> None:
+    def _abort(self, stream: RunningStream, refused: Refused) -> None:
         self._metrics.count("streams_given_up", reason=refused.type)
         stream.output.put(refused)
         self.end(stream)
--- a/caroblug/entry/_subset.py
+++ b/caroblug/entry/_subset.py
@@ -1,38 +1,39 @@
-"""Which side processes this entry is connected with."""
+"""Selection of the side processes that an entry connects to."""
 
 import collections
 from collections.abc import Collection
 
-from caroblug.core.routing import Kind, choose_subset, choose_unknown
+from caroblug.core.routing import Kind, choose_instances_to_probe, choose_subset
 from caroblug.gen.wire import ttypes as wire
 
-_ASKED_AT_ONCE = 32
+_PROBES_PER_ROUND = 32
 
 
-class Subset:
-    """Learns what instances serve, and keeps to some of each kind.
+class SideSubset:
+    """Selects side processes so that every kind of service is covered.
 
-    The instance list does not say what an instance serves. Each is asked
-    once, a few at a time, by connecting to it; its first report tells.
+    The instance list does not show what an instance serves. The entry
+    therefore connects to unknown instances, a few at a time, until their
+    first load report arrives.
 
     Args:
         owner: Name of the entry.
-        size: Engines to be connected with.
+        size: Number of engines to connect to.
     """
 
     def __init__(self, owner: str, size: int) -> None:
         self.owner = owner
         self.size = size
         self._kinds: dict[str, Kind] = {}
-        self._asked: collections.Counter[str] = collections.Counter()
+        self._probe_counts: collections.Counter[str] = collections.Counter()
 
     @property
     def known(self) -> frozenset[str]:
-        """Instances that have said what they serve."""
+        """Instances that have reported what they serve."""
         return frozenset(self._kinds)
 
     def on_report(self, report: wire.LoadReport) -> None:
-        """Learns what an instance serves."""
+        """Records what an instance serves."""
         if report.target:
             self._kinds[report.instance] = Kind(
                 report.target,
@@ -41,22 +42,26 @@
                 report.end_layer or 0,
             )
 
-    def wanted(self, listed: Collection[str]) -> frozenset[str]:
-        """Returns the listed instances to be connected with.
+    def select(self, listed: Collection[str]) -> frozenset[str]:
+        """Returns the listed instances to connect to.
 
-        Guards against instances that are listed but never answer: those that
-        were asked least often come first, so that they do not hold up the
-        others.
+        Unknown instances that were probed least often come first. Listed
+        instances that never report thus can't block the others.
+
+        Args:
+            listed: Names of all listed side processes.
         """
         for gone in self._kinds.keys() - set(listed):
             del self._kinds[gone]
-        for gone in self._asked.keys() - set(listed):
-            del self._asked[gone]
+        for gone in self._probe_counts.keys() - set(listed):
+            del self._probe_counts[gone]
         if len(listed) <= self.size:
             return frozenset(listed)
         unknown = [i for i in listed if i not in self._kinds]
-        fewest = min((self._asked[i] for i in unknown), default=0)
-        turn = [i for i in unknown if self._asked[i] == fewest]
-        asked = choose_unknown(self.owner, turn, _ASKED_AT_ONCE)
-        self._asked.update(asked)
-        return choose_subset(self.owner, self._kinds, self.size) | asked
+        fewest = min((self._probe_counts[i] for i in unknown), default=0)
+        candidates = [i for i in unknown if self._probe_counts[i] == fewest]
+        probed = choose_instances_to_probe(
+            self.owner, candidates, _PROBES_PER_ROUND
+        )
+        self._probe_counts.update(probed)
+        return choose_subset(self.owner, self._kinds, self.size) | probed
