--- a/caroblug/explain/tests/test_explain.py
+++ b/caroblug/explain/tests/test_explain.py
@@ -34,7 +34,7 @@
     return list(read_lines(LINES))
 
 
-def test_request_is_told_with_what_it_met():
+def test_timeline_of_a_request_includes_ejections():
     story = trace_request(parsed(), "r1")
 
     assert [s.kind for s in story] == [
@@ -44,11 +44,11 @@
     ]
 
 
-def test_unknown_request_has_no_story():
+def test_unknown_request_has_no_timeline():
     assert trace_request(parsed(), "r9") == []
 
 
-def test_what_was_believed_at_a_moment():
+def test_states_at_a_point_in_time():
     before = states_at(parsed(), 3.5)
     assert before["g1"].values["configuration"] == 4
     assert before["g2"].values["configuration"] == 5
@@ -59,7 +59,7 @@
     assert states_at(parsed(), 9.0)["g1"].avoided == {}
 
 
-def test_lines_may_have_something_before_them():
+def test_text_before_a_line_is_ignored():
     (found,) = read_lines([f"  12.5 front-a {LINES[0]}"])
 
     assert found.instance == "g1"
--- a/caroblug/explain/tests/test_losses.py
+++ b/caroblug/explain/tests/test_losses.py
@@ -28,7 +28,7 @@
 ]
 
 
-def test_losses_are_summed_by_outcome_and_cause():
+def test_losses_are_grouped_by_outcome_and_cause():
     losses = {(x.outcome, x.cause): x for x in group_losses(LINES)}
 
     paused = losses["late", "pause: path changed"]
