--- a/caroblug/report/_burn.py
+++ b/caroblug/report/_burn.py
@@ -1,7 +1,8 @@
-"""Service-level burn over several windows.
+"""Computes error-budget burn rates over several windows.
 
 The burn rate is the share of bad requests divided by the share that the
-objective allows: at 1 the budget lasts exactly the objective's period.
+objective allows. At a rate of 1 the budget lasts exactly for the objective's
+period.
 
 References:
     Beyer et al., "The Site Reliability Workbook", 2018, chapter 5: alerts on
@@ -15,30 +16,34 @@
 
 from caroblug.core.state import Objective
 from caroblug.report._pages import Counts, Page, Series
-from caroblug.report._snapshots import Snapshot, difference
+from caroblug.report._snapshots import Snapshot, diff_pages
 from caroblug.utils import CALLER_ERRORS
 
 _US_PER_MS = 1000
-_PERIOD_S = 30 * 24 * 3600
-_COUNTER_OF_MEASURE = {
+_BUDGET_PERIOD_S = 30 * 24 * 3600
+_COUNTER_BY_MEASURE = {
     "first_token": "requests",
     "between_tokens": "",
     "request": "requests",
     "call": "calls",
 }
 _ANSWERED = "answered"
-_NOT_COUNTED = {"cancelled", *(refusal.value for refusal in CALLER_ERRORS)}
+_UNCOUNTED_OUTCOMES = {
+    "cancelled",
+    *(refusal.value for refusal in CALLER_ERRORS),
+}
 
 
 @attrs.frozen
 class Window:
-    """A pair of windows that burn together.
+    """A long and a short window that are evaluated together.
 
     Attributes:
         name: `fast`, `slow` or `trend`.
         long_s: Length of the long window.
-        short_s: Length of the short window, which ends the alert soon.
-        rate: Burn rate at which the pair burns.
+        short_s: Length of the short window, which lets the alert end soon
+            after the burn has stopped.
+        rate: Burn rate that both windows must reach for an alert.
     """
 
     name: str
@@ -56,13 +61,17 @@
 
 @attrs.frozen
 class Tally:
-    """Requests of one objective and group in a window."""
+    """Counts of all and of bad requests of an objective in a window."""
 
     total: float
     bad: float
 
     def burn(self, share: float) -> float:
-        """Returns the burn rate against an objective's share of good."""
+        """Returns the burn rate.
+
+        Args:
+            share: Share of good requests that the objective demands.
+        """
         if not self.total:
             return 0.0
         return (self.bad / self.total) / (1 - share)
@@ -70,11 +79,11 @@
 
 @attrs.frozen
 class WindowBurn:
-    """Burn in one pair of windows.
+    """Burn rates in one pair of windows.
 
     Attributes:
-        window: The pair.
-        covered_s: How much of the long window the snapshots cover.
+        window: The pair of windows.
+        covered_s: Part of the long window that the snapshots cover.
         long: Burn rate over the long window.
         short: Burn rate over the short window.
     """
@@ -86,22 +95,22 @@
 
     @property
     def burning(self) -> bool:
-        """Whether both windows are at or over the rate."""
+        """Whether both windows have reached the rate."""
         return min(self.long, self.short) >= self.window.rate
 
 
 @attrs.frozen
 class Burn:
-    """Burn of one objective for one group of client accounts.
+    """Error-budget burn of one objective for one group of client accounts.
 
     Attributes:
         objective: The objective.
         group: Group of client accounts.
-        windows: Burn by pair of windows.
-        total: Requests over all snapshots.
-        bad: Those that were too slow or failed.
-        budget_left: Share of the period's budget not yet spent, at the
-            volume seen; below 0 when overspent.
+        windows: Burn rates by pair of windows.
+        total: Number of requests over all snapshots.
+        bad: Number of requests that were too slow or failed.
+        budget_left: Remaining share of the period's budget at the measured
+            request volume; negative if the budget is overspent.
     """
 
     objective: Objective
@@ -115,28 +124,28 @@
 def tally(page: Page, objective: Objective, group: str) -> Tally:
     """Counts the requests of an objective on a page of differences.
 
-    A request that failed counts as bad whatever time it took; one that its
-    caller got wrong or gave up does not.
+    A failed request is bad regardless of its latency. Requests that the caller
+    cancelled or that were refused because of the caller's error don't count.
     """
     series = Series(objective.measure, objective.service, group)
     counts = page.latencies.get(series, {})
-    slow = _slow(counts, objective.within_ms)
-    counter = _COUNTER_OF_MEASURE[objective.measure]
+    slow = _count_slow(counts, objective.within_ms)
+    counter = _COUNTER_BY_MEASURE[objective.measure]
     if not counter:
         return Tally(float(sum(counts.values())), slow)
-    outcomes = _outcomes(page, objective, group, counter)
+    outcomes = _count_outcomes(page, objective, group, counter)
     total = sum(outcomes.values())
     failed = total - outcomes.get(_ANSWERED, 0.0)
     return Tally(total, min(total, slow + failed))
 
 
-def _slow(counts: Counts, within_ms: int) -> float:
-    """Counts above the bound; a bucket that straddles it counts as slow."""
+def _count_slow(counts: Counts, within_ms: int) -> float:
+    """Returns the count above a bound; a bucket that contains it is slow."""
     bound_us = within_ms * _US_PER_MS
     return float(sum(n for us, n in counts.items() if us > bound_us))
 
 
-def _outcomes(
+def _count_outcomes(
     page: Page, objective: Objective, group: str, counter: str
 ) -> dict[str, float]:
     return {
@@ -145,7 +154,7 @@
         if series.measure == counter
         and series.service == objective.service
         and series.group == group
-        and series.outcome not in _NOT_COUNTED
+        and series.outcome not in _UNCOUNTED_OUTCOMES
     }
 
 
@@ -155,39 +164,45 @@
     """Returns the burn of every objective and group.
 
     Args:
-        snapshots: Oldest first, at least one. Before the first one nothing
-            is taken to have happened.
-        objectives: From the bundle.
+        snapshots: At least one snapshot, oldest first. Counts of the first of
+            several are the baseline; a single one is taken as a whole.
+        objectives: Objectives of the bundle.
     """
     parsed = [snapshot.pages() for snapshot in snapshots]
     times = [snapshot.time_s for snapshot in snapshots]
-    whole = difference({}, parsed[-1]) if len(parsed) == 1 else None
-    changes = _Changes(parsed, times, whole)
+    since_start = diff_pages({}, parsed[-1]) if len(parsed) == 1 else None
+    changes = _WindowDifferences(parsed, times, since_start)
     burns = []
     for objective in objectives:
-        for group in _groups(parsed[-1], objective):
-            burns.append(_burn_of(changes, objective, group))
+        for group in _find_groups(parsed[-1], objective):
+            burns.append(_compute_objective_burn(changes, objective, group))
     return burns
 
 
-class _Changes:
-    """Pages of differences by window length, each computed once."""
+class _WindowDifferences:
+    """Computes and caches differences over windows up to the last snapshot.
+
+    Args:
+        parsed: Pages by instance for each snapshot, oldest first.
+        times: Time of each snapshot in seconds.
+        since_start: All counts if there is only one snapshot, else None.
+    """
 
     def __init__(
         self,
         parsed: Sequence[Mapping[str, Page]],
         times: Sequence[float],
-        whole: Page | None,
+        since_start: Page | None,
     ) -> None:
         self._parsed = parsed
         self._times = times
-        self._whole = whole
+        self._since_start = since_start
         self._cache: dict[int, Page] = {}
 
     def over(self, length_s: float) -> tuple[Page, float]:
-        """Returns the differences over a window and the time it covers."""
-        if self._whole is not None:
-            return self._whole, 0.0
+        """Returns the differences over a window and the time they cover."""
+        if self._since_start is not None:
+            return self._since_start, 0.0
         end_s = self._times[-1]
         index = 0
         for place, time_s in enumerate(self._times[:-1]):
@@ -198,20 +213,23 @@
         return self._cache[index], min(length_s, end_s - self._times[index])
 
     def _sum(self, index: int) -> Page:
-        """Adds up the steps, so that a restart in any of them is seen."""
+        """Sums the differences between adjacent snapshots.
+
+        Restarts of an instance are detected between any two of them.
+        """
         total = Page({}, {}, {})
         for place in range(index, len(self._parsed) - 1):
-            step = difference(self._parsed[place], self._parsed[place + 1])
+            step = diff_pages(self._parsed[place], self._parsed[place + 1])
             total = _merge(total, step)
         return total
 
 
 def _merge(left: Page, right: Page) -> Page:
-    return difference({}, {"left": left, "right": right})
+    return diff_pages({}, {"left": left, "right": right})
 
 
-def _groups(pages: Mapping[str, Page], objective: Objective) -> list[str]:
-    measures = {objective.measure, _COUNTER_OF_MEASURE[objective.measure]}
+def _find_groups(pages: Mapping[str, Page], objective: Objective) -> list[str]:
+    measures = {objective.measure, _COUNTER_BY_MEASURE[objective.measure]}
     return sorted(
         {
             series.group
@@ -223,7 +241,9 @@
     )
 
 
-def _burn_of(changes: _Changes, objective: Objective, group: str) -> Burn:
+def _compute_objective_burn(
+    changes: _WindowDifferences, objective: Objective, group: str
+) -> Burn:
     windows = []
     for window in WINDOWS:
         long_page, covered_s = changes.over(window.long_s)
@@ -236,7 +256,7 @@
                 tally(short_page, objective, group).burn(objective.share),
             )
         )
-    page, covered_s = changes.over(_PERIOD_S)
+    page, covered_s = changes.over(_BUDGET_PERIOD_S)
     seen = tally(page, objective, group)
     return Burn(
         objective,
@@ -244,10 +264,13 @@
         tuple(windows),
         seen.total,
         seen.bad,
-        1 - seen.burn(objective.share) * _share_of_period(covered_s),
+        1 - seen.burn(objective.share) * _fraction_of_period(covered_s),
     )
 
 
-def _share_of_period(covered_s: float) -> float:
-    """A single snapshot covers an unknown time, taken as the whole period."""
-    return min(1.0, covered_s / _PERIOD_S) if covered_s else 1.0
+def _fraction_of_period(covered_s: float) -> float:
+    """Returns the share of the budget period that the snapshots cover.
+
+    A single snapshot covers an unknown time, which counts as the whole period.
+    """
+    return min(1.0, covered_s / _BUDGET_PERIOD_S) if covered_s else 1.0
--- a/caroblug/utils/_ranges.py
+++ b/caroblug/utils/_ranges.py
@@ -1,7 +1,7 @@
-"""Finds every value out of its range in a parsed TOML table.
+"""Finds every out-of-range value in a parsed TOML table.
 
-attrs stops at the first value that a class refuses; whoever writes settings
-wants to hear of all of them at once.
+attrs stops at the first value that a class rejects. The operator who edits a
+settings file needs all of them at once.
 """
 
 import types
@@ -14,19 +14,22 @@
 
 
 class OutOfRangeError(ValueError):
-    """A value that its field does not allow."""
+    """Raised by a field's validator for a value that it does not allow."""
 
 
-def out_of_range(
+def find_out_of_range(
     table: dict[str, Any], cls: type, file: str, path: tuple[str, ...] = ()
 ) -> list[SettingProblem]:
     """Returns a problem for each value that its field does not allow.
 
     Args:
         table: The parsed table.
-        cls: The attrs class that it is to become.
-        file: Name to give in messages.
+        cls: The attrs class that describes the table.
+        file: File name for messages.
         path: Keys that lead to the table.
+
+    Returns:
+        The problems, in the order of the class's fields.
     """
     problems = []
     hints = typing.get_type_hints(cls)
@@ -37,12 +40,12 @@
         where = (*path, field.name)
         check = field.metadata.get("check")
         if check is not None and not check(value):
-            problems.append(_problem(field, value, file, where))
-        problems += _inside(hints[field.name], value, file, where)
+            problems.append(_make_problem(field, value, file, where))
+        problems += _check_nested(hints[field.name], value, file, where)
     return problems
 
 
-def _problem(
+def _make_problem(
     field: attrs.Attribute, value: Any, file: str, path: tuple[str, ...]
 ) -> SettingProblem:
     message = f"must be {field.metadata['allowed']}"
@@ -51,26 +54,26 @@
     return SettingProblem(file, ".".join(path), message)
 
 
-def _inside(
+def _check_nested(
     hint: Any, value: Any, file: str, path: tuple[str, ...]
 ) -> list[SettingProblem]:
-    """Looks into nested tables, tables of tables and lists of tables."""
+    """Checks nested tables, tables of tables and lists of tables."""
     arguments = typing.get_args(hint)
     origin = typing.get_origin(hint)
     if origin in (types.UnionType, typing.Union):
-        return _inside(arguments[0], value, file, path)
+        return _check_nested(arguments[0], value, file, path)
     if origin is dict and isinstance(value, dict):
         items = [(str(key), item) for key, item in value.items()]
-        return _each(arguments[1], items, file, path)
+        return _check_items(arguments[1], items, file, path)
     if origin is list and isinstance(value, list):
         items = [(str(index), item) for index, item in enumerate(value)]
-        return _each(arguments[0], items, file, path)
+        return _check_items(arguments[0], items, file, path)
     if attrs.has(hint) and isinstance(value, dict):
-        return out_of_range(value, hint, file, path)
+        return find_out_of_range(value, hint, file, path)
     return []
 
 
-def _each(
+def _check_items(
     hint: Any,
     items: list[tuple[str, Any]],
     file: str,
@@ -78,5 +81,5 @@
 ) -> list[SettingProblem]:
     problems = []
     for key, item in items:
-        problems += _inside(hint, item, file, (*path, key))
+        problems += _check_nested(hint, item, file, (*path, key))
     return problems
