--- a/caroblug/core/recovery/_stage.py
+++ b/caroblug/core/recovery/_stage.py
@@ -269,7 +269,7 @@
             return [
                 FailStream(
                     StageFailure.JOURNAL_LOST,
-                    f"position {position} is no longer in the journal",
+                    f"position {position} is no longer kept",
                 )
             ]
         states = self._journal[position - self._journal_start :]
--- a/caroblug/side/_at_most_once.py
+++ b/caroblug/side/_at_most_once.py
@@ -173,7 +173,7 @@
         return refuse_call(
             call,
             RefusalType.LOG_UNAVAILABLE,
-            "the call has run; its response cannot be read from the log now",
+            "the call has run; its answer cannot be read back now",
             Ran.YES,
             _RETRY_AFTER_MS,
         )
@@ -189,7 +189,7 @@
         return refuse_call(
             call,
             RefusalType.LOG_UNAVAILABLE,
-            "the log service is unavailable; retry with the same key",
+            "the log service takes no intents now; come back with this key",
             ran,
             _RETRY_AFTER_MS,
         )
@@ -222,9 +222,9 @@
         return refuse_call(
             call,
             RefusalType.ANSWER_NOT_KEPT,
-            f"the call has run; its response with status {outcome.status} is"
-            f" over {_MAX_STORED_BODY_BYTES} bytes and was not stored;"
-            f" the digest of its body is {outcome.body_digest}",
+            f"the call has run; its answer of status {outcome.status} is"
+            f" over {_MAX_STORED_BODY_BYTES} bytes and was not kept;"
+            f" its digest is {outcome.body_digest}",
             Ran.YES,
             retry_after_ms=0,
         )
@@ -259,7 +259,7 @@
     return refuse_call(
         call,
         RefusalType.KEY_CONFLICT,
-        "the key was used for a different request; this one did not run",
+        "the key was used with another request; this one did not run",
         Ran.NO,
         retry_after_ms=0,
     )
@@ -269,7 +269,7 @@
     return refuse_call(
         call,
         RefusalType.OUTCOME_UNKNOWN,
-        "a call with this key has started; its outcome is unknown",
+        "a call with this key was begun, and how it ended is not known",
         Ran.UNKNOWN,
         _RETRY_AFTER_MS,
     )
--- a/caroblug/side/_plain.py
+++ b/caroblug/side/_plain.py
@@ -193,7 +193,7 @@
         """
         if leaving:
             reply = refuse_call(
-                call, RefusalType.LEAVING, "instance is draining", Ran.NO
+                call, RefusalType.LEAVING, "instance is leaving", Ran.NO
             )
             self._network.send(peer, reply)
             return
--- a/caroblug/side/_server.py
+++ b/caroblug/side/_server.py
@@ -254,9 +254,7 @@
 
     def _on_foreign_change(self) -> None:
         """Fails the streams; their entries run them on other instances."""
-        failed = EngineFailure(
-            "another process changed the state of the engine"
-        )
+        failed = EngineFailure("the engine was ordered by somebody else")
         self._on_engine_lost(self._scheduler.sessions_in_engine, failed)
 
     def _rejects_new_work(self) -> bool:
--- a/caroblug/side/_streams.py
+++ b/caroblug/side/_streams.py
@@ -88,7 +88,7 @@
         if open_stage is None:
             if refusal:
                 self._send_refusal(
-                    open_message, refusal, "instance accepts no new streams"
+                    open_message, refusal, "takes no new streams"
                 )
                 return
             open_stage = self._add_stage(open_message)
@@ -191,7 +191,7 @@
                 self._send_refusal(
                     open_stage.open_message,
                     StageFailure.PEER_UNREACHABLE,
-                    f"{instance} is unreachable",
+                    f"{instance} does not answer",
                     unreachable=instance,
                 )
 
--- a/caroblug/transport/_engine.py
+++ b/caroblug/transport/_engine.py
@@ -141,7 +141,7 @@
                 }
             )
         except (KeyError, TypeError, ValueError):
-            return EngineFailure("response is not valid")
+            return EngineFailure("answer does not parse")
 
     def run(
         self, items: Sequence[EngineItem], ended: Sequence[str]
@@ -160,7 +160,7 @@
         try:
             return tuple(_decode_result(r) for r in response.json()["results"])
         except (KeyError, TypeError, ValueError):
-            return EngineFailure("response is not valid")
+            return EngineFailure("answer does not parse")
 
 
 def _encode_item(item: EngineItem) -> dict:
--- a/caroblug/transport/_http.py
+++ b/caroblug/transport/_http.py
@@ -150,9 +150,7 @@
         return HttpFailure(_format_error(error), sent=False)
     try:
         if not may_send():
-            return HttpFailure(
-                "deadline passed before the request was sent", sent=False
-            )
+            return HttpFailure("the time to call has passed", sent=False)
         connection.request(method, path, body, headers)
         response = connection.getresponse()
         content = response.read()
