--- a/benchmarks/_fleet.py
+++ b/benchmarks/_fleet.py
@@ -13,7 +13,7 @@
     EntrySpec,
     RunningProcess,
     Site,
-    default_bundle,
+    make_default_bundle,
 )
 
 PLACES = ("muscat-a", "muscat-b", "muscat-c")
@@ -97,7 +97,7 @@
 
 def start_fleet(site: Site) -> None:
     """Starts the platform and every engine of the fleet."""
-    site.bundle = default_bundle()
+    site.bundle = make_default_bundle()
     site.start_platform()
     site.add_account("bench", streams=100_000)
     site.publish()
--- a/benchmarks/bundle_spread.py
+++ b/benchmarks/bundle_spread.py
@@ -78,7 +78,7 @@
             "shared_key": SHARED_KEY,
             "operators": site.operator_keys,
             "log": {"host": HOST, "port": site.log_port},
-            "instance_list": {"host": HOST, "port": site.instances_port},
+            "instance_list": {"host": HOST, "port": site.instance_list_port},
         }
 
     def _list(self, site: Site, table: dict) -> None:
@@ -90,7 +90,7 @@
             "data_centre": table["data_centre"],
             "state": "live",
         }
-        site.http(site.instances_port, "POST", "/instances", record)
+        site.http(site.instance_list_port, "POST", "/instances", record)
 
     def _start(self, tables: list[dict]) -> None:
         process = subprocess.Popen(
@@ -161,7 +161,7 @@
     path.write_text(tomli_w.dumps(site.bundle))
     key = str(site.folder / "operator-0.key")
     options = site.log_options()
-    site.bundle_command(
+    site.run_bundle_command(
         "sign", str(path), "--key", key, "--out", str(record), *options
     )
     data = record.read_bytes()
--- a/benchmarks/log_outage.py
+++ b/benchmarks/log_outage.py
@@ -103,7 +103,7 @@
     site.bundle["limits"]["max_tokens"] = 99
     path.write_text(tomli_w.dumps(site.bundle))
     key = str(site.folder / "operator-0.key")
-    site.bundle_command(
+    site.run_bundle_command(
         "sign",
         str(path),
         "--key",
--- a/benchmarks/once.py
+++ b/benchmarks/once.py
@@ -30,7 +30,7 @@
 from standins.site import HOST, EntrySpec, PlainSpec, Site, make_site
 
 _RUNS = 3
-_AT_ONCE = (1, 10, 100)
+_CONCURRENCIES = (1, 10, 100)
 _WARM_S = 0.7
 _SECONDS = 2.5
 _TIMEOUT_MS = 20_000
@@ -72,11 +72,11 @@
         self._numbers = itertools.count()
         self._stopped = False
 
-    def run(self, at_once: int) -> float:
+    def run(self, concurrency: int) -> float:
         """Runs the loops and returns the measured seconds."""
         loops = [
             gevent.spawn(self._loop, f"entry-{_PLACES[n % 2]}")
-            for n in range(at_once)
+            for n in range(concurrency)
         ]
         gevent.sleep(_WARM_S)
         self.tally = _Tally()
@@ -131,34 +131,34 @@
     )
 
 
-def run(site: Site, at_once: int, seed: int) -> tuple[dict, dict]:
+def run(site: Site, concurrency: int, seed: int) -> tuple[dict, dict]:
     """Returns the figures with and without a key at a concurrency."""
     plain = _Bookers(site, keyed=False, seed=seed)
-    plain_s = plain.run(at_once)
+    plain_s = plain.run(concurrency)
     entries = entries_written(site)
-    appends = site.observe("log")["appends"]
+    appends = site.read_counters("log")["appends"]
     begun = time.monotonic()
     keyed = _Bookers(site, keyed=True, seed=seed)
-    keyed_s = keyed.run(at_once)
+    keyed_s = keyed.run(concurrency)
     whole_s = time.monotonic() - begun
-    appends = site.observe("log")["appends"] - appends
+    appends = site.read_counters("log")["appends"] - appends
     entries = entries_written(site) - entries
     calls = len(keyed.tally.took_ms)
     figures = {
-        f"added_p50_ms_{at_once}": keyed.tally.quantile(0.5)
+        f"added_p50_ms_{concurrency}": keyed.tally.quantile(0.5)
         - plain.tally.quantile(0.5),
-        f"added_p95_ms_{at_once}": keyed.tally.quantile(0.95)
+        f"added_p95_ms_{concurrency}": keyed.tally.quantile(0.95)
         - plain.tally.quantile(0.95),
-        f"p95_ms_{at_once}": keyed.tally.quantile(0.95),
-        f"calls_per_s_per_owner_{at_once}": calls / keyed_s / len(_PLACES),
-        f"appends_per_s_{at_once}": appends / whole_s,
-        f"entries_per_append_{at_once}": entries / max(1, appends),
-        f"refused_{at_once}": keyed.tally.refused,
+        f"p95_ms_{concurrency}": keyed.tally.quantile(0.95),
+        f"calls_per_s_per_owner_{concurrency}": calls / keyed_s / len(_PLACES),
+        f"appends_per_s_{concurrency}": appends / whole_s,
+        f"entries_per_append_{concurrency}": entries / max(1, appends),
+        f"refused_{concurrency}": keyed.tally.refused,
     }
     baseline = {
-        f"p50_ms_{at_once}": plain.tally.quantile(0.5),
-        f"p95_ms_{at_once}": plain.tally.quantile(0.95),
-        f"calls_per_s_per_owner_{at_once}": len(plain.tally.took_ms)
+        f"p50_ms_{concurrency}": plain.tally.quantile(0.5),
+        f"p95_ms_{concurrency}": plain.tally.quantile(0.95),
+        f"calls_per_s_per_owner_{concurrency}": len(plain.tally.took_ms)
         / plain_s
         / len(_PLACES),
     }
@@ -169,7 +169,7 @@
     """Returns how often the services ran the key they ran most often."""
     runs: dict[str, int] = {}
     for place in _PLACES:
-        for key, count in site.observe(f"plain-{place}")["runs"].items():
+        for key, count in site.read_counters(f"plain-{place}")["runs"].items():
             if not key.startswith("{"):
                 runs[key] = runs.get(key, 0) + count
     return max(runs.values())
@@ -226,8 +226,8 @@
         for seed in range(1, _RUNS + 1):
             journalled: dict[str, float] = {}
             direct: dict[str, float] = {}
-            for at_once in _AT_ONCE:
-                one, other = run(site, at_once, seed * 1000 + at_once)
+            for concurrency in _CONCURRENCIES:
+                one, other = run(site, concurrency, seed * 1000 + concurrency)
                 journalled |= one
                 direct |= other
             print(f"seed {seed}: {journalled} {direct}", flush=True)
@@ -235,7 +235,7 @@
             baselines.append(direct)
         most = runs_per_key_max(site)
     result = median_of(figures)
-    result["appends_per_s"] = result[f"appends_per_s_{_AT_ONCE[-1]}"]
+    result["appends_per_s"] = result[f"appends_per_s_{_CONCURRENCIES[-1]}"]
     result["runs_per_key_max"] = most
     result |= fold_figures()
     print_result(
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -173,7 +173,7 @@
         for _ in range(_STREAMS)
     ]
     for caller in callers:
-        caller.wait_parts(_BEFORE_FAULT)
+        caller.wait_for_chunks(_BEFORE_FAULT)
     fault_s = time.monotonic()
     _STRIKE[fault](site)
     for caller in callers:
@@ -193,7 +193,7 @@
     excluded = _excluded_by_stream(site)
     outcome = Outcome()
     for caller in callers:
-        outcome.wrong += not caller.right
+        outcome.wrong += not caller.is_correct
         struck = excluded.get(caller.stream, set()) & lost
         gap_ms = _gap_ms(caller, fault_s)
         if struck or (fault == "silent" and gap_ms):
@@ -233,7 +233,7 @@
 def _layers_run(site: Site) -> int:
     """Returns how often engines have run a layer for a position."""
     return sum(
-        site.observe(name)["layers_run"]
+        site.read_counters(name)["layers_run"]
         for name, process in site.processes.items()
         if process.role == "engine"
     )
--- a/standins/_ports.py
+++ b/standins/_ports.py
@@ -3,8 +3,8 @@
 import random
 import socket
 
-_FIRST = 18000
-_END = 32000
+_FIRST_PORT = 18000
+_END_PORT = 32000
 _HOST = "127.0.0.1"
 
 
@@ -19,7 +19,7 @@
         end: One past the last port.
     """
 
-    def __init__(self, first: int = _FIRST, end: int = _END) -> None:
+    def __init__(self, first: int = _FIRST_PORT, end: int = _END_PORT) -> None:
         self._first = first
         self._end = end
         self._random = random.SystemRandom()
--- a/standins/callers.py
+++ b/standins/callers.py
@@ -11,7 +11,7 @@
 from standins import reference
 from standins.site import MODEL, Site
 
-_BALANCER_S = 0.05
+_READY_POLL_S = 0.05
 _WORDS = ("autumn", "comet", "dome", "eclipse", "galaxy", "meteor", "nebula")
 
 
@@ -54,29 +54,29 @@
         self.arrivals: list[float] = []
         self.stream = ""
         self.refusal: dict[str, Any] | None = None
-        self.broken = ""
+        self.connection_error = ""
         self._site = site
         self.entry = entry
         self._account = account
-        self._parts: list[str] = []
+        self._texts: list[str] = []
         self._greenlet = gevent.spawn(self._run)
 
     @property
     def text(self) -> str:
         """The text so far."""
-        return "".join(self._parts)
+        return "".join(self._texts)
 
     @property
-    def right(self) -> bool:
+    def is_correct(self) -> bool:
         """Whether the text is the whole right answer."""
         return self.text == self.expected()
 
     @property
     def failure(self) -> str:
         """What was wrong with the answer; empty if nothing was."""
-        if self.right:
+        if self.is_correct:
             return ""
-        return self.broken or str(self.refusal) or "wrong text"
+        return self.connection_error or str(self.refusal) or "wrong text"
 
     def prompt_tokens(self) -> list[int]:
         """Returns the prompt as the entry encodes it."""
@@ -97,7 +97,7 @@
         )
         return tokenizer.decode(tokens)
 
-    def wait_parts(self, count: int) -> None:
+    def wait_for_chunks(self, count: int) -> None:
         """Waits until `count` parts have come."""
         self._site.wait_for(
             lambda: len(self.arrivals) >= count or self._greenlet.ready(),
@@ -118,11 +118,11 @@
         }
         try:
             for chunk in self._site.stream(self.entry, self._account, body):
-                self._take(chunk)
+                self._on_chunk(chunk)
         except Exception as error:
-            self.broken = repr(error)
+            self.connection_error = repr(error)
 
-    def _take(self, chunk: dict[str, Any]) -> None:
+    def _on_chunk(self, chunk: dict[str, Any]) -> None:
         if "error" in chunk:
             self.refusal = chunk["error"]
             return
@@ -130,10 +130,10 @@
         content = chunk["choices"][0]["delta"].get("content", "")
         if content:
             self.arrivals.append(time.monotonic())
-            self._parts.append(content)
+            self._texts.append(content)
 
 
-class Load:
+class ClosedLoopLoad:
     """Callers who come one after the other until they are stopped.
 
     Args:
@@ -151,7 +151,7 @@
         account: str,
         entries: Sequence[str],
         tokens: int,
-        at_once: int = 4,
+        concurrency: int = 4,
     ) -> None:
         self._site = site
         self._account = account
@@ -160,7 +160,8 @@
         self._callers: list[Caller] = []
         self._stopped = False
         self._greenlets = [
-            gevent.spawn(self._ask, number) for number in range(at_once)
+            gevent.spawn(self._run_loop, number)
+            for number in range(concurrency)
         ]
 
     def stop(self) -> list[Caller]:
@@ -169,10 +170,10 @@
         gevent.joinall(self._greenlets)
         return self._callers
 
-    def _ask(self, number: int) -> None:
+    def _run_loop(self, number: int) -> None:
         generator = random.Random(number)
         while not self._stopped:
-            entry = self._ready_entry(generator)
+            entry = self._choose_ready_entry(generator)
             caller = Caller(
                 self._site,
                 entry,
@@ -184,9 +185,9 @@
             self._callers.append(caller)
             caller.join()
 
-    def _ready_entry(self, generator: random.Random) -> str:
+    def _choose_ready_entry(self, generator: random.Random) -> str:
         while True:
             for entry in generator.sample(self._entries, len(self._entries)):
                 if self._site.is_ready(entry):
                     return entry
-            gevent.sleep(_BALANCER_S)
+            gevent.sleep(_READY_POLL_S)
--- a/standins/demo.py
+++ b/standins/demo.py
@@ -14,7 +14,7 @@
     PlainSpec,
     Site,
     make_site,
-    three_stages,
+    make_three_stages,
 )
 
 _TOKENS = 24
@@ -27,7 +27,7 @@
     site.start_platform()
     site.add_account("school-1", group="schools")
     site.publish()
-    for spec in three_stages():
+    for spec in make_three_stages():
         site.start_engine(spec)
     for place in ("a", "b"):
         site.start_plain(
@@ -39,7 +39,7 @@
     site.wait_ready()
 
 
-def show_answer(site: Site) -> bool:
+def print_answer(site: Site) -> bool:
     """Prints a streamed answer and tells whether it is right."""
     body = {
         "model": MODEL,
@@ -65,9 +65,9 @@
     return "".join(parts) == tokenizer.decode(expected)
 
 
-def show_booking(site: Site) -> bool:
+def print_booking(site: Site) -> bool:
     """Prints a booking's answer and tells whether it ran once."""
-    answer = site.call(
+    response = site.call(
         "entry-b",
         "school-1",
         "POST",
@@ -75,8 +75,8 @@
         {"show": "autumn", "seats": 24},
         {"Idempotency-Key": "class-4b"},
     )
-    print(f"booking: {answer.status} {answer.body.decode()}")
-    return answer.status == 201 and answer.json()["run"] == 1
+    print(f"booking: {response.status} {response.body.decode()}")
+    return response.status == 201 and response.json()["run"] == 1
 
 
 def main() -> int:
@@ -86,10 +86,10 @@
         for process in site.processes.values():
             place = process.data_centre or "platform"
             print(f"process: {process.role:10} {process.name} ({place})")
-        answer_right = show_answer(site)
-        booked_once = show_booking(site)
-    print(f"the answer is right: {answer_right}; booked once: {booked_once}")
-    return 0 if answer_right and booked_once else 1
+        answer_correct = print_answer(site)
+        booked_once = print_booking(site)
+    print(f"the answer is right: {answer_correct}; booked once: {booked_once}")
+    return 0 if answer_correct and booked_once else 1
 
 
 if __name__ == "__main__":
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -26,10 +26,17 @@
 from standins import reference
 from standins._serve import make_app, serve
 
-_POSITIONS_AT_ONCE = 256
-_CATCH_UP_S = 0.02
+_POSITIONS_PER_YIELD = 256
+_MAX_CATCH_UP_S = 0.02
 
-_STATE = ("model", "first_layer", "end_layer", "version", "adapter", "role")
+_STATE_FIELDS = (
+    "model",
+    "first_layer",
+    "end_layer",
+    "version",
+    "adapter",
+    "role",
+)
 
 
 @attrs.define
@@ -41,7 +48,7 @@
 
 
 @attrs.frozen
-class _Waiting:
+class _PendingItem:
     item: dict[str, Any]
     result: event.AsyncResult
     since: float = attrs.field(factory=time.monotonic)
@@ -63,13 +70,13 @@
         self.orders = 0
         self.fenced = 0
         self.holds_orders = False
-        self.landing = event.Event()
-        self._highest = -1
+        self.orders_released = event.Event()
+        self._highest_number = -1
         self.layers_run = 0
         self.repeated = 0
         self.timings: list[tuple[str, float, float]] = []
         self._sessions: dict[str, _Session] = {}
-        self._waiting: list[_Waiting] = []
+        self._pending: list[_PendingItem] = []
         self._wake = event.Event()
 
     def describe(self) -> dict[str, Any]:
@@ -83,28 +90,28 @@
             "adapter": options.adapter,
             "role": options.role,
             "layers": options.layers,
-            "tokens_per_s": self.capacity(),
+            "tokens_per_s": self.positions_per_s(),
             "batch": options.batch,
         }
 
-    def capacity(self) -> float:
+    def positions_per_s(self) -> float:
         """Returns positions per second in full batches."""
         options = self.options
         iteration_ms = self.step_ms + options.batch * options.position_ms
         return options.batch * 1000 / iteration_ms
 
-    def order(self, body: dict[str, Any]) -> bool:
+    def apply_order(self, body: dict[str, Any]) -> bool:
         """Takes a whole state; False if its number is an old one."""
         self.arrived += 1
         if self.holds_orders:
-            self.landing.wait()
-        if body["number"] < self._highest and self.options.check_fence:
+            self.orders_released.wait()
+        if body["number"] < self._highest_number and self.options.check_fence:
             self.fenced += 1
             return False
-        self._highest = max(self._highest, body["number"])
+        self._highest_number = max(self._highest_number, body["number"])
         self.orders += 1
-        state = {key: body[key] for key in _STATE}
-        if state != {key: getattr(self.options, key) for key in _STATE}:
+        state = {key: body[key] for key in _STATE_FIELDS}
+        if state != {key: getattr(self.options, key) for key in _STATE_FIELDS}:
             self._sessions.clear()
         vars(self.options).update(state)
         return True
@@ -112,15 +119,15 @@
     def submit(self, item: dict[str, Any]) -> event.AsyncResult:
         """Queues an item for the next iterations."""
         result: event.AsyncResult = event.AsyncResult()
-        self._waiting.append(_Waiting(item, result))
+        self._pending.append(_PendingItem(item, result))
         self._wake.set()
         return result
 
-    def end(self, session: str) -> None:
+    def end_session(self, session: str) -> None:
         """Frees the cache of a stream."""
         self._sessions.pop(session, None)
 
-    def loop(self) -> None:
+    def run(self) -> None:
         """Runs iterations for ever.
 
         An iteration that follows another at once begins when that one was due
@@ -131,39 +138,41 @@
             if not self._wake.is_set():
                 self._wake.wait()
                 free_at = time.monotonic()
-            batch = self._take()
+            batch = self._take_batch()
             if not batch:
                 self._wake.clear()
                 continue
             positions = sum(len(w.item["inputs"]) for w in batch)
             ms = self.step_ms + positions * self.options.position_ms
-            free_at = max(free_at, time.monotonic() - _CATCH_UP_S) + ms / 1000
+            free_at = (
+                max(free_at, time.monotonic() - _MAX_CATCH_UP_S) + ms / 1000
+            )
             gevent.sleep(max(0.0, free_at - time.monotonic()))
             while self.hung:
                 gevent.sleep(0.05)
-            for waiting in batch:
-                waiting.result.set(self._run(waiting.item))
+            for pending in batch:
+                pending.result.set(self._run(pending.item))
             if self.options.timings:
-                self._note(batch)
+                self._record_timings(batch)
 
-    def _note(self, batch: list[_Waiting]) -> None:
+    def _record_timings(self, batch: list[_PendingItem]) -> None:
         """Keeps when items were here, by the machine's monotonic clock."""
         now = time.monotonic()
         self.timings.extend((w.item["session"], w.since, now) for w in batch)
 
-    def _take(self) -> list[_Waiting]:
-        self._waiting.sort(key=lambda w: w.item.get("priority", 0))
-        batch: list[_Waiting] = []
-        left: list[_Waiting] = []
-        room = self.options.batch
-        for waiting in self._waiting:
-            length = len(waiting.item["inputs"])
-            if length <= room or not batch:
-                batch.append(waiting)
-                room -= length
+    def _take_batch(self) -> list[_PendingItem]:
+        self._pending.sort(key=lambda w: w.item.get("priority", 0))
+        batch: list[_PendingItem] = []
+        left: list[_PendingItem] = []
+        capacity_left = self.options.batch
+        for pending in self._pending:
+            length = len(pending.item["inputs"])
+            if length <= capacity_left or not batch:
+                batch.append(pending)
+                capacity_left -= length
             else:
-                left.append(waiting)
-        self._waiting = left
+                left.append(pending)
+        self._pending = left
         return batch
 
     def _run(self, item: dict[str, Any]) -> dict[str, Any]:
@@ -179,15 +188,15 @@
         states = []
         for offset, value in enumerate(item["inputs"]):
             position = item["position"] + offset
-            state = self._input(value, position)
+            state = self._decode_input(value, position)
             for layer in range(item["first_layer"], item["end_layer"]):
                 state = self._run_layer(session, layer, position, state)
             states.append(state)
-            if offset % _POSITIONS_AT_ONCE == _POSITIONS_AT_ONCE - 1:
+            if offset % _POSITIONS_PER_YIELD == _POSITIONS_PER_YIELD - 1:
                 gevent.sleep(0)
-        return self._answer(item, states)
+        return self._make_result(item, states)
 
-    def _input(self, value: int | str, position: int) -> bytes:
+    def _decode_input(self, value: int | str, position: int) -> bytes:
         if isinstance(value, str):
             state = base64.b64decode(value)
             if state == self._poison_state:
@@ -214,7 +223,7 @@
         session.caches[layer] = output
         return output
 
-    def _answer(
+    def _make_result(
         self, item: dict[str, Any], states: list[bytes]
     ) -> dict[str, Any]:
         answer: dict[str, Any] = {
@@ -232,7 +241,7 @@
         return answer
 
 
-class _Describe:
+class _DescriptionResource:
     def __init__(self, engine: Engine) -> None:
         self._engine = engine
 
@@ -243,19 +252,19 @@
         response.media = self._engine.describe()
 
 
-class _Run:
+class _RunResource:
     def __init__(self, engine: Engine) -> None:
         self._engine = engine
 
     def on_post(self, request: falcon.Request, response: falcon.Response):
         body = request.get_media()
         for session in body["ended"]:
-            self._engine.end(session)
-        waiting = [self._engine.submit(item) for item in body["items"]]
-        response.media = {"results": [result.get() for result in waiting]}
+            self._engine.end_session(session)
+        pending = [self._engine.submit(item) for item in body["items"]]
+        response.media = {"results": [result.get() for result in pending]}
 
 
-class _Timings:
+class _TimingsResource:
     def __init__(self, engine: Engine) -> None:
         self._engine = engine
 
@@ -265,16 +274,16 @@
         response.media = {"timings": timings}
 
 
-class _Orders:
+class _OrdersResource:
     def __init__(self, engine: Engine) -> None:
         self._engine = engine
 
     def on_post(self, request: falcon.Request, response: falcon.Response):
-        if not self._engine.order(request.get_media()):
+        if not self._engine.apply_order(request.get_media()):
             response.status = falcon.HTTP_409
 
 
-class _Control:
+class _ControlResource:
     """Orders from tests: `crash`, `hang`, `step_ms`, and of late orders.
 
     With `holds_orders`, an order that arrives waits for `land`.
@@ -292,7 +301,7 @@
         if "holds_orders" in body:
             self._engine.holds_orders = bool(body["holds_orders"])
         if body.get("land"):
-            self._engine.landing.set()
+            self._engine.orders_released.set()
         if "step_ms" in body:
             self._engine.step_ms = float(body["step_ms"])
         response.media = {}
@@ -332,13 +341,13 @@
     )
     options = parser.parse_args()
     engine = Engine(options)
-    gevent.spawn(engine.loop)
+    gevent.spawn(engine.run)
     app = make_app()
-    app.add_route("/v1/engine", _Describe(engine))
-    app.add_route("/v1/run", _Run(engine))
-    app.add_route("/timings", _Timings(engine))
-    app.add_route("/v1/orders", _Orders(engine))
-    app.add_route("/control", _Control(engine))
+    app.add_route("/v1/engine", _DescriptionResource(engine))
+    app.add_route("/v1/run", _RunResource(engine))
+    app.add_route("/timings", _TimingsResource(engine))
+    app.add_route("/v1/orders", _OrdersResource(engine))
+    app.add_route("/control", _ControlResource(engine))
     serve(app, options.port)
 
 
--- a/standins/followers.py
+++ b/standins/followers.py
@@ -26,7 +26,7 @@
 _CLOCK = MonotonicClock()
 
 
-class _Node(PeerHandler):
+class _Follower(PeerHandler):
     """One follower."""
 
     def __init__(self, settings: NodeSettings) -> None:
@@ -40,7 +40,12 @@
             self.metrics,
         )
         self.fleet = make_fleet(
-            settings, "side", self.network, _CLOCK, self.metrics, self._on_head
+            settings,
+            "side",
+            self.network,
+            _CLOCK,
+            self.metrics,
+            self._print_head,
         )
 
     def start(self) -> None:
@@ -56,29 +61,29 @@
     def on_peer_lost(self, peer: PeerAddress, reason: str) -> None:
         self.fleet.on_peer_lost(peer)
 
-    def _on_head(self, head: Head) -> None:
+    def _print_head(self, head: Head) -> None:
         now_ms = time.monotonic_ns() / _NS_PER_MS
         print(f"{head.version} {self.settings.instance} {now_ms}", flush=True)
 
 
 def main() -> None:
     """Runs until standard input ends."""
-    orders = FileObject(sys.stdin.buffer, "rb")
-    nodes = []
-    for table in orjson.loads(orders.readline()):
+    commands = FileObject(sys.stdin.buffer, "rb")
+    followers = []
+    for table in orjson.loads(commands.readline()):
         addresses = {
             key: Address(**table.pop(key)) for key in ("log", "instance_list")
         }
-        nodes.append(_Node(NodeSettings(**addresses, **table)))
-    for node in nodes:
-        node.start()
+        followers.append(_Follower(NodeSettings(**addresses, **table)))
+    for follower in followers:
+        follower.start()
         gevent.sleep(0.01)
-    for _ in orders:
-        sent = sum(n.metrics.value("frame_bytes_sent") for n in nodes)
-        frames = sum(n.metrics.value("frames_sent") for n in nodes)
-        reads = sum(n.metrics.value("bundle_log_reads") for n in nodes)
-        ready = sum(n.fleet.bundles.ready for n in nodes)
-        links = sum(len(n.network.peers) for n in nodes)
+    for _ in commands:
+        sent = sum(f.metrics.value("frame_bytes_sent") for f in followers)
+        frames = sum(f.metrics.value("frames_sent") for f in followers)
+        reads = sum(f.metrics.value("bundle_log_reads") for f in followers)
+        ready = sum(f.fleet.bundles.ready for f in followers)
+        links = sum(len(f.network.peers) for f in followers)
         cpu_ms = time.process_time() * 1000
         print(
             f"sent {sent} {frames} {reads} {ready} {links} {cpu_ms}",
--- a/standins/instances.py
+++ b/standins/instances.py
@@ -13,7 +13,7 @@
 from standins._serve import make_app, serve
 
 
-class Instances:
+class InstanceList:
     """The list; a change shows only after the lag.
 
     Args:
@@ -24,7 +24,7 @@
         self.lag_ms = lag_ms
         self.down = False
         self._changes: list[tuple[float, str, dict[str, Any] | None]] = []
-        self._shown: dict[str, dict[str, Any]] = {}
+        self._visible: dict[str, dict[str, Any]] = {}
 
     def change(self, name: str, record: dict[str, Any] | None) -> None:
         """Lists an instance, changes it, or takes it off with None.
@@ -34,45 +34,45 @@
         due = time.monotonic() + self.lag_ms / 1000
         self._changes.append((due, name, record))
 
-    def shown(self) -> list[dict[str, Any]]:
+    def visible(self) -> list[dict[str, Any]]:
         """Returns what the list shows now."""
         now = time.monotonic()
         due = [c for c in self._changes if c[0] <= now]
         self._changes = [c for c in self._changes if c[0] > now]
         for _, name, record in due:
             if record is None:
-                self._shown.pop(name, None)
+                self._visible.pop(name, None)
             else:
-                self._shown[name] = self._shown.get(name, {}) | record
-        return [r for r in self._shown.values() if "host" in r]
+                self._visible[name] = self._visible.get(name, {}) | record
+        return [r for r in self._visible.values() if "host" in r]
 
 
-class _List:
-    def __init__(self, instances: Instances) -> None:
-        self._instances = instances
+class _InstancesResource:
+    def __init__(self, instance_list: InstanceList) -> None:
+        self._list = instance_list
 
     def on_get(self, request: falcon.Request, response: falcon.Response):
         del request
-        if self._instances.down:
+        if self._list.down:
             raise falcon.HTTPServiceUnavailable
-        response.media = {"instances": self._instances.shown()}
+        response.media = {"instances": self._list.visible()}
 
     def on_post(self, request: falcon.Request, response: falcon.Response):
         record = request.get_media()
-        gone = record.get("state") == "gone"
-        self._instances.change(record["instance"], None if gone else record)
+        removed = record.get("state") == "gone"
+        self._list.change(record["instance"], None if removed else record)
         response.media = {}
 
 
-class _Control:
-    def __init__(self, instances: Instances) -> None:
-        self._instances = instances
+class _ControlResource:
+    def __init__(self, instance_list: InstanceList) -> None:
+        self._list = instance_list
 
     def on_post(self, request: falcon.Request, response: falcon.Response):
         body = request.get_media()
-        self._instances.down = bool(body.get("down", False))
+        self._list.down = bool(body.get("down", False))
         if "lag_ms" in body:
-            self._instances.lag_ms = float(body["lag_ms"])
+            self._list.lag_ms = float(body["lag_ms"])
         response.media = {}
 
 
@@ -82,10 +82,10 @@
     parser.add_argument("--port", type=int, required=True)
     parser.add_argument("--lag-ms", type=float, default=300.0)
     options = parser.parse_args()
-    instances = Instances(options.lag_ms)
+    instance_list = InstanceList(options.lag_ms)
     app = make_app()
-    app.add_route("/instances", _List(instances))
-    app.add_route("/control", _Control(instances))
+    app.add_route("/instances", _InstancesResource(instance_list))
+    app.add_route("/control", _ControlResource(instance_list))
     serve(app, options.port)
 
 
--- a/standins/links.py
+++ b/standins/links.py
@@ -39,8 +39,8 @@
         self._sock = sock
         self._latency_s = latency_ms / 1000
         self._bytes_per_s = bytes_per_s
-        self._free_at = 0.0
-        self._sent: queue.Queue = queue.Queue()
+        self._link_free_at_s = 0.0
+        self._in_flight: queue.Queue = queue.Queue()
         gevent.spawn(self._deliver)
 
     def __getattr__(self, name: str) -> Any:
@@ -49,14 +49,14 @@
     def sendall(self, data: bytes) -> None:
         """Takes bytes on their way."""
         now = time.monotonic()
-        self._free_at = max(now, self._free_at)
+        self._link_free_at_s = max(now, self._link_free_at_s)
         if self._bytes_per_s:
-            self._free_at += len(data) / self._bytes_per_s
-        self._sent.put((self._free_at + self._latency_s, data))
+            self._link_free_at_s += len(data) / self._bytes_per_s
+        self._in_flight.put((self._link_free_at_s + self._latency_s, data))
 
     def _deliver(self) -> None:
         while True:
-            due, data = self._sent.get()
+            due, data = self._in_flight.get()
             gevent.sleep(max(0.0, due - time.monotonic()))
             try:
                 self._sock.sendall(data)
@@ -75,14 +75,14 @@
     table: dict[str, tuple[float, float]] = {}
 
     def _add(self, session: Any, link: Any) -> None:
-        own, other = self._hello.data_centre, link.peer.data_centre
-        if own != other:
-            ends = [self.table[own], self.table[other]]
-            bounds = [bound for _, bound in ends if bound]
+        local, remote = self._hello.data_centre, link.peer.data_centre
+        if local != remote:
+            link_ends = [self.table[local], self.table[remote]]
+            rate_bounds = [rate for _, rate in link_ends if rate]
             link.sock = DelayedSocket(
                 link.sock,
-                max(latency_ms for latency_ms, _ in ends),
-                min(bounds, default=0.0),
+                max(latency_ms for latency_ms, _ in link_ends),
+                min(rate_bounds, default=0.0),
             )
         super()._add(session, link)
 
--- a/standins/log.py
+++ b/standins/log.py
@@ -16,7 +16,7 @@
 
 from standins._serve import make_app, serve
 
-_HANG_S = 5.0
+_SILENCE_S = 5.0
 
 
 @attrs.define
@@ -52,7 +52,7 @@
         self.reads = 0
         self._streams: dict[str, _Stream] = {}
         self._second = 0
-        self._in_second = 0
+        self._appends_in_second = 0
 
     def stream(self, name: str) -> _Stream:
         """Returns a stream without its expired records."""
@@ -67,10 +67,10 @@
         """Appends a record; None if the rate limit is reached."""
         second = int(time.monotonic())
         if second != self._second:
-            self._second, self._in_second = second, 0
-        if self._in_second >= self.appends_per_s:
+            self._second, self._appends_in_second = second, 0
+        if self._appends_in_second >= self.appends_per_s:
             return None
-        self._in_second += 1
+        self._appends_in_second += 1
         self.appends += 1
         stream = self.stream(name)
         stream.records.append((time.monotonic(), data))
@@ -100,7 +100,7 @@
         }
 
 
-class _Records:
+class _RecordsResource:
     def __init__(self, log: Log) -> None:
         self._log = log
 
@@ -108,14 +108,14 @@
         self, request: falcon.Request, response: falcon.Response, name: str
     ) -> None:
         data = request.get_media()["data"]
-        self._check()
+        self._apply_faults()
         offset = self._log.append(name, data)
         if offset is None:
             response.status = falcon.HTTP_429
             return
         if self._log.lose_answers > 0:
             self._log.lose_answers -= 1
-            gevent.sleep(_HANG_S)
+            gevent.sleep(_SILENCE_S)
             raise falcon.HTTPServiceUnavailable
         gevent.sleep(self._log.answer_delay_ms / 1000)
         response.status = falcon.HTTP_201
@@ -124,7 +124,7 @@
     def on_get(
         self, request: falcon.Request, response: falcon.Response, name: str
     ) -> None:
-        self._check()
+        self._apply_faults()
         response.media = self._log.read(
             name,
             request.get_param_as_int("offset", default=0),
@@ -132,18 +132,18 @@
             request.get_param_as_int("wait_ms", default=0),
         )
         gevent.sleep(self._log.answer_delay_ms / 1000)
-        self._check()
+        self._apply_faults()
 
-    def _check(self) -> None:
+    def _apply_faults(self) -> None:
         if self._log.delay_ms:
             gevent.sleep(self._log.delay_ms / 1000)
         if self._log.silent:
-            gevent.sleep(_HANG_S)
+            gevent.sleep(_SILENCE_S)
         if self._log.down or self._log.silent:
             raise falcon.HTTPServiceUnavailable
 
 
-class _Control:
+class _ControlResource:
     """Orders from tests.
 
     Keys: `down`, `silent`, `lose_answers`, `delay_ms` (before an append takes
@@ -177,8 +177,8 @@
     options = parser.parse_args()
     log = Log(options.retention_s, options.appends_per_s)
     app = make_app()
-    app.add_route("/streams/{name}", _Records(log))
-    app.add_route("/control", _Control(log))
+    app.add_route("/streams/{name}", _RecordsResource(log))
+    app.add_route("/control", _ControlResource(log))
     serve(app, options.port)
 
 
--- a/standins/operator.py
+++ b/standins/operator.py
@@ -19,7 +19,7 @@
 from caroblug.bundle import run
 
 
-def _call(arguments: list[str]) -> str:
+def _run_command(arguments: list[str]) -> str:
     output = io.StringIO()
     with contextlib.redirect_stdout(output), contextlib.redirect_stderr(output):
         code = run(arguments)
@@ -40,7 +40,7 @@
             command = ["sign", str(bundle), "--key", key, "--out", str(record)]
         else:
             command = ["publish", str(record)]
-        print(_call([*command, *options]), flush=True)
+        print(_run_command([*command, *options]), flush=True)
 
 
 if __name__ == "__main__":
--- a/standins/plain.py
+++ b/standins/plain.py
@@ -13,7 +13,7 @@
 from standins._serve import make_app, serve
 
 
-class Plain:
+class PlainService:
     """Answers any call.
 
     Args:
@@ -46,22 +46,22 @@
             response.status = falcon.HTTP_201
 
 
-class _Counts:
+class _ControlResource:
     """Counts of runs; orders from tests: `delay_ms`, `padding`."""
 
-    def __init__(self, plain: Plain) -> None:
-        self._plain = plain
+    def __init__(self, service: PlainService) -> None:
+        self._service = service
 
     def on_get(self, request: falcon.Request, response: falcon.Response):
         del request
-        response.media = {"runs": dict(self._plain.runs)}
+        response.media = {"runs": dict(self._service.runs)}
 
     def on_post(self, request: falcon.Request, response: falcon.Response):
-        orders = request.get_media()
-        self._plain.delay_ms = float(
-            orders.get("delay_ms", self._plain.delay_ms)
+        commands = request.get_media()
+        self._service.delay_ms = float(
+            commands.get("delay_ms", self._service.delay_ms)
         )
-        self._plain.padding = int(orders.get("padding", 0))
+        self._service.padding = int(commands.get("padding", 0))
         response.media = {}
 
 
@@ -71,10 +71,10 @@
     parser.add_argument("--port", type=int, required=True)
     parser.add_argument("--delay-ms", type=float, default=5.0)
     options = parser.parse_args()
-    plain = Plain(options.delay_ms)
+    service = PlainService(options.delay_ms)
     app = make_app()
-    app.add_route("/control", _Counts(plain))
-    app.add_sink(plain, "/")
+    app.add_route("/control", _ControlResource(service))
+    app.add_sink(service, "/")
     serve(app, options.port)
 
 
--- a/standins/reference.py
+++ b/standins/reference.py
@@ -10,9 +10,9 @@
 import struct
 
 STATE_BYTES = 16
-_HEAD = struct.Struct(">II")
-_TOKEN = struct.Struct(">IQ")
-_EMPTY = bytes(STATE_BYTES)
+_LAYER_HEADER = struct.Struct(">II")
+_SAMPLE_HEADER = struct.Struct(">IQ")
+_EMPTY_CACHE = bytes(STATE_BYTES)
 
 
 def embed(token: int) -> bytes:
@@ -23,18 +23,19 @@
 
 
 def run_layer(
-    layer: int, position: int, state: bytes, cache: bytes = _EMPTY
+    layer: int, position: int, state: bytes, cache: bytes = _EMPTY_CACHE
 ) -> bytes:
     """Returns a layer's output, which is also its new cache."""
     return hashlib.blake2b(
-        _HEAD.pack(layer, position) + state + cache, digest_size=STATE_BYTES
+        _LAYER_HEADER.pack(layer, position) + state + cache,
+        digest_size=STATE_BYTES,
     ).digest()
 
 
 def sample(state: bytes, position: int, seed: int, vocabulary: int) -> int:
     """Returns the token after `position`."""
     digest = hashlib.blake2b(
-        _TOKEN.pack(position, seed) + state, digest_size=8
+        _SAMPLE_HEADER.pack(position, seed) + state, digest_size=8
     ).digest()
     return int.from_bytes(digest, "big") % vocabulary
 
@@ -43,7 +44,7 @@
     prompt: list[int], count: int, layers: int, vocabulary: int, seed: int
 ) -> list[int]:
     """Returns the tokens that a right answer holds."""
-    caches = [_EMPTY] * layers
+    caches = [_EMPTY_CACHE] * layers
     tokens = list(prompt)
     generated: list[int] = []
     position = 0
--- a/standins/relay.py
+++ b/standins/relay.py
@@ -22,22 +22,22 @@
 from caroblug.transport import _framing as framing
 from standins._serve import HOST, make_app, serve
 
-_RESET = struct.pack("ii", 1, 0)
-_ANYBODY = "*"
+_LINGER_0 = struct.pack("ii", 1, 0)
+_ALL = "*"
 
 
 @attrs.define(eq=False)
-class _Pair:
+class _RelayedConnection:
     """A connection on both sides of the relay."""
 
     name: str
-    near: socket.socket
-    far: socket.socket
+    client_sock: socket.socket
+    target_sock: socket.socket
     silent: bool = False
 
     def reset(self) -> None:
         """Resets both ends."""
-        for sock in (self.near, self.far):
+        for sock in (self.client_sock, self.target_sock):
             _reset(sock)
 
 
@@ -52,47 +52,52 @@
         self.target = target
         self.delay_ms = 0.0
         self.cut: set[str] = set()
-        self._pairs: list[_Pair] = []
+        self._connections: list[_RelayedConnection] = []
 
-    def names(self) -> list[str]:
+    def client_names(self) -> list[str]:
         """Returns who has a connection open."""
-        return sorted({pair.name for pair in self._pairs})
+        return sorted({connection.name for connection in self._connections})
 
-    def chosen(self, name: str) -> list[_Pair]:
+    def matching_connections(self, name: str) -> list[_RelayedConnection]:
         """Returns the connections of one process or of all."""
-        return [p for p in self._pairs if name in (_ANYBODY, p.name)]
+        return [p for p in self._connections if name in (_ALL, p.name)]
 
-    def accept(self, near: socket.socket, address: Any) -> None:
+    def accept(self, client_sock: socket.socket, address: Any) -> None:
         """Serves one connection."""
         del address
-        received = framing.read_payload(near)
+        received = framing.read_payload(client_sock)
         if received is None:
-            near.close()
+            client_sock.close()
             return
         name = framing.decode(wire.Hello, received[0]).instance
-        if name in self.cut or _ANYBODY in self.cut:
-            _reset(near)
+        if name in self.cut or _ALL in self.cut:
+            _reset(client_sock)
             return
-        far = socket.create_connection((HOST, self.target))
-        for sock in (near, far):
+        target_sock = socket.create_connection((HOST, self.target))
+        for sock in (client_sock, target_sock):
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        pair = _Pair(name, near, far)
-        self._pairs.append(pair)
-        far.sendall(framing.pack_payload(*received))
-        back = gevent.spawn(self._pass, pair, far, near)
-        self._pass(pair, near, far)
-        back.join()
-        self._pairs.remove(pair)
-        near.close()
-        far.close()
-
-    def _pass(
-        self, pair: _Pair, source: socket.socket, sink: socket.socket
+        connection = _RelayedConnection(name, client_sock, target_sock)
+        self._connections.append(connection)
+        target_sock.sendall(framing.pack_payload(*received))
+        backward = gevent.spawn(
+            self._forward, connection, target_sock, client_sock
+        )
+        self._forward(connection, client_sock, target_sock)
+        backward.join()
+        self._connections.remove(connection)
+        client_sock.close()
+        target_sock.close()
+
+    def _forward(
+        self,
+        connection: _RelayedConnection,
+        source: socket.socket,
+        sink: socket.socket,
     ) -> None:
         try:
             while True:
                 data = source.recv(1 << 16)
-                if pair.silent:
+                if connection.silent:
                     gevent.sleep(3600)
                 if not data:
                     break
@@ -101,18 +106,18 @@
                 sink.sendall(data)
             sink.shutdown(socket.SHUT_WR)
         except OSError:
-            pair.reset()
+            connection.reset()
 
 
 def _reset(sock: socket.socket) -> None:
     try:
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET)
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_0)
     except OSError:
         return
     sock.close()
 
 
-class _Control:
+class _ControlResource:
     """Orders from tests: `cut`, `heal`, `reset`, `silence`, `delay_ms`.
 
     All but the last take the name of a process that dials, or `*`.
@@ -128,18 +133,18 @@
             relay.cut.add(body["cut"])
         if "heal" in body:
             relay.cut.discard(body["heal"])
-        for pair in relay.chosen(body.get("silence", "")):
-            pair.silent = True
+        for connection in relay.matching_connections(body.get("silence", "")):
+            connection.silent = True
         for order in ("cut", "reset"):
-            for pair in relay.chosen(body.get(order, "")):
-                pair.reset()
+            for connection in relay.matching_connections(body.get(order, "")):
+                connection.reset()
         if "delay_ms" in body:
             relay.delay_ms = float(body["delay_ms"])
         response.media = {}
 
     def on_get(self, request: falcon.Request, response: falcon.Response):
         del request
-        response.media = {"names": self._relay.names()}
+        response.media = {"names": self._relay.client_names()}
 
 
 def main() -> None:
@@ -153,7 +158,7 @@
     listener = server.StreamServer((HOST, options.listen), relay.accept)
     listener.start()
     app = make_app()
-    app.add_route("/control", _Control(relay))
+    app.add_route("/control", _ControlResource(relay))
     serve(app, options.port)
 
 
--- a/standins/site.py
+++ b/standins/site.py
@@ -28,8 +28,8 @@
 HOST = "127.0.0.1"
 MODEL = "dome-7b"
 SHARED_KEY = "stand-in key of a site that lives for one test"
-_READY_S = 90.0
-_STOP_S = 10.0
+_READY_TIMEOUT_S = 90.0
+_STOP_TIMEOUT_S = 10.0
 _POLL_S = 0.05
 _CALL_MS = 130_000
 
@@ -88,7 +88,7 @@
         self.popen.wait()
 
 
-def default_bundle() -> dict[str, Any]:
+def make_default_bundle() -> dict[str, Any]:
     """Returns a bundle of one model, one service and no accounts."""
     return {
         "models": {MODEL: {"layers": 24, "vocabulary": 512}},
@@ -110,11 +110,11 @@
         self.processes: dict[str, RunningProcess] = {}
         self.ports = Ports()
         self.keys: dict[str, str] = {}
-        self.bundle = default_bundle()
+        self.bundle = make_default_bundle()
         self.log_port = 0
-        self.instances_port = 0
+        self.instance_list_port = 0
         self.operator_keys: list[str] = []
-        self._published = 0
+        self._publish_count = 0
 
     def start_platform(
         self,
@@ -124,17 +124,17 @@
     ) -> None:
         """Starts the log service and the instance list."""
         self.log_port = self.ports.take()
-        self.instances_port = self.ports.take()
-        self._standin("log", "log", self.log_port, log_options)
-        self._standin(
-            "instances", "instances", self.instances_port, list_options
+        self.instance_list_port = self.ports.take()
+        self._start_stand_in("log", "log", self.log_port, log_options)
+        self._start_stand_in(
+            "instances", "instances", self.instance_list_port, list_options
         )
         self.wait_http(self.log_port, "/control")
-        self.wait_http(self.instances_port, "/instances")
+        self.wait_http(self.instance_list_port, "/instances")
         for number in range(operators):
             path = self.folder / f"operator-{number}.key"
-            answer = self.bundle_command("keygen", "--out", str(path))
-            self.operator_keys.append(answer.stdout.strip())
+            response = self.run_bundle_command("keygen", "--out", str(path))
+            self.operator_keys.append(response.stdout.strip())
 
     def add_account(self, name: str, **rule: Any) -> str:
         """Adds a client account to the next bundle and returns its key."""
@@ -157,7 +157,7 @@
             f"--vocabulary={model['vocabulary']}",
             *spec.options,
         )
-        self._standin(f"engine-{spec.name}", "engine", port, options)
+        self._start_stand_in(f"engine-{spec.name}", "engine", port, options)
         self.wait_http(port, "/control")
         engine = {"engine": {"host": HOST, "port": port}}
         self.start_side(spec.name, spec.data_centre, engine | spec.side)
@@ -165,14 +165,14 @@
     def start_weights(self, *options: str) -> dict[str, Any]:
         """Starts the weight store and returns its address."""
         port = self.ports.take()
-        self._standin("weights", "weights", port, options)
+        self._start_stand_in("weights", "weights", port, options)
         self.wait_http(port, "/control")
         return {"host": HOST, "port": port}
 
     def start_plain(self, spec: PlainSpec) -> None:
         """Starts a plain service and its side process, and lists it."""
         port = self.ports.take()
-        self._standin(f"plain-{spec.name}", "plain", port, spec.options)
+        self._start_stand_in(f"plain-{spec.name}", "plain", port, spec.options)
         self.wait_http(port, "/control")
         plain = {"service": spec.service, "host": HOST, "port": port}
         self.start_side(
@@ -183,15 +183,17 @@
         self, name: str, data_centre: str, settings: dict[str, Any]
     ) -> RunningProcess:
         """Starts a side process and lists it."""
-        return self._program("side", f"side-{name}", data_centre, settings)
+        return self._start_program(
+            "side", f"side-{name}", data_centre, settings
+        )
 
     def start_entry(self, spec: EntrySpec) -> RunningProcess:
         """Starts an entry instance and lists it."""
-        return self._program(
+        return self._start_program(
             "entry", spec.name, spec.data_centre, spec.settings
         )
 
-    def bundle_command(
+    def run_bundle_command(
         self, *arguments: str, check: bool = True
     ) -> subprocess.CompletedProcess[str]:
         """Runs `caroblug-bundle`."""
@@ -211,12 +213,12 @@
 
     def publish(self) -> None:
         """Signs the bundle with the first operator's key and publishes."""
-        self._published += 1
-        path = self.folder / f"bundle-{self._published}.toml"
-        record = self.folder / f"bundle-{self._published}.record"
+        self._publish_count += 1
+        path = self.folder / f"bundle-{self._publish_count}.toml"
+        record = self.folder / f"bundle-{self._publish_count}.record"
         path.write_text(tomli_w.dumps(self.bundle))
         key = self.folder / "operator-0.key"
-        self.bundle_command(
+        self.run_bundle_command(
             "sign",
             str(path),
             "--key",
@@ -225,7 +227,7 @@
             str(record),
             *self.log_options(),
         )
-        self.bundle_command("publish", str(record), *self.log_options())
+        self.run_bundle_command("publish", str(record), *self.log_options())
 
     def list_instance(self, name: str, state: str = "live") -> None:
         """Shows an instance on the platform's list as `state`."""
@@ -239,19 +241,19 @@
             "data_centre": process.data_centre,
             "state": state,
         }
-        self.http(self.instances_port, "POST", "/instances", record)
+        self.http(self.instance_list_port, "POST", "/instances", record)
 
-    def list_instance_gone(self, process: RunningProcess) -> None:
+    def unlist_instance(self, process: RunningProcess) -> None:
         """Takes an instance off the platform's list."""
         record = {"instance": process.name, "state": "gone"}
-        self.http(self.instances_port, "POST", "/instances", record)
+        self.http(self.instance_list_port, "POST", "/instances", record)
 
     def control(self, name: str, orders: dict[str, Any]) -> None:
         """Gives orders to a stand-in."""
         port = self.processes[name].http_port
         self.http(port, "POST", "/control", orders)
 
-    def observe(self, name: str) -> Any:
+    def read_counters(self, name: str) -> Any:
         """Returns what a stand-in has counted."""
         port = self.processes[name].http_port
         return self.http(port, "GET", "/control").json()
@@ -267,12 +269,12 @@
         """Makes one call; raises if there is no answer."""
         client = JsonHttpClient(HOST, port, _CALL_MS, connections=1)
         try:
-            answer = client.request(method, path, body, headers)
+            response = client.request(method, path, body, headers)
         finally:
             client.close()
-        if isinstance(answer, HttpFailure):
-            raise ConnectionError(answer.message)
-        return answer
+        if isinstance(response, HttpFailure):
+            raise ConnectionError(response.message)
+        return response
 
     def call(
         self,
@@ -284,10 +286,10 @@
         headers: dict[str, str] | None = None,
     ) -> HttpResponse:
         """Makes a caller's request to an entry."""
-        sent = {"Authorization": f"Bearer {self.keys[account]}"}
-        sent.update(headers or {})
+        sent_headers = {"Authorization": f"Bearer {self.keys[account]}"}
+        sent_headers.update(headers or {})
         port = self.processes[entry].http_port
-        return self.http(port, method, path, body, sent)
+        return self.http(port, method, path, body, sent_headers)
 
     def stream(
         self, entry: str, account: str, body: dict[str, Any]
@@ -349,7 +351,7 @@
 
     def wait_for(self, condition: Any, what: str) -> None:
         """Polls until a condition holds; raises when it takes too long."""
-        end = time.monotonic() + _READY_S
+        end = time.monotonic() + _READY_TIMEOUT_S
         while not condition():
             if time.monotonic() > end:
                 raise TimeoutError(f"gave up waiting for {what}")
@@ -368,7 +370,7 @@
         for process in running:
             process.signal(signal.SIGCONT)
             process.signal(signal.SIGTERM)
-        end = time.monotonic() + _STOP_S
+        end = time.monotonic() + _STOP_TIMEOUT_S
         for process in running:
             try:
                 process.popen.wait(max(0.01, end - time.monotonic()))
@@ -381,7 +383,7 @@
         except (ConnectionError, OSError):
             return False
 
-    def _standin(
+    def _start_stand_in(
         self, name: str, module: str, port: int, options: Sequence[str]
     ) -> None:
         command = [
@@ -393,7 +395,7 @@
         ]
         self._spawn(RunningProcess(name, module, None, port), command)
 
-    def _program(
+    def _start_program(
         self,
         role: str,
         name: str,
@@ -402,10 +404,10 @@
     ) -> RunningProcess:
         peer_port, http_port = self.ports.take(), self.ports.take()
         settings = dict(settings)
-        reach_port = peer_port
+        advertised_port = peer_port
         if settings.pop("relay", False):
-            reach_port = self._start_relay(name, peer_port)
-            settings["advertised_port"] = reach_port
+            advertised_port = self._start_relay(name, peer_port)
+            settings["advertised_port"] = advertised_port
         table = {
             "instance": name,
             "data_centre": data_centre,
@@ -414,7 +416,7 @@
             "shared_key": SHARED_KEY,
             "operators": self.operator_keys,
             "log": {"host": HOST, "port": self.log_port},
-            "instance_list": {"host": HOST, "port": self.instances_port},
+            "instance_list": {"host": HOST, "port": self.instance_list_port},
             **settings,
         }
         path = self.folder / f"{name}.toml"
@@ -427,7 +429,7 @@
             str(path),
         ]
         process = RunningProcess(
-            name, role, None, http_port, reach_port, data_centre
+            name, role, None, http_port, advertised_port, data_centre
         )
         self._spawn(process, command)
         self.list_instance(name)
@@ -437,7 +439,7 @@
         """Puts a relay before a program; returns the port to reach it by."""
         port, listen = self.ports.take(), self.ports.take()
         options = (f"--listen={listen}", f"--target={target}")
-        self._standin(f"relay-{name}", "relay", port, options)
+        self._start_stand_in(f"relay-{name}", "relay", port, options)
         self.wait_http(port, "/control")
         return listen
 
@@ -482,7 +484,7 @@
             site.close()
 
 
-def three_stages(**options: Any) -> list[EngineSpec]:
+def make_three_stages(**options: Any) -> list[EngineSpec]:
     """Returns engines of three stages, each twice, in two data centres."""
     bounds = ((0, 8), (8, 16), (16, 24))
     return [
--- a/standins/soak/__main__.py
+++ b/standins/soak/__main__.py
@@ -27,33 +27,33 @@
     make_site,
 )
 from standins.soak._callers import Callers
-from standins.soak._checks import Watcher, check_calls, check_engines
+from standins.soak._checks import ProcessMonitor, check_calls, check_engines
 from standins.soak._faults import (
-    Bench,
-    Conductor,
     Fault,
+    FaultContext,
+    FaultInjector,
     Freeze,
     HangEngine,
     Kill,
-    Platform,
-    Poison,
+    PlatformFault,
+    PoisonFault,
     RacingOperators,
     Restart,
 )
-from standins.soak._record import FaultSpan, Record
+from standins.soak._record import FaultSpan, SoakRecord
 
 _PLACES = ("a", "b", "c")
-_BOUNDS = ((0, 8), (8, 16), (16, 24))
-_LIGHT = 8
-_HEAVY = 2
-_HEAVY_CALLERS = 6
-_LIGHT_CALLERS = 2
+_STAGE_BOUNDS = ((0, 8), (8, 16), (16, 24))
+_LIGHT_ACCOUNTS = 8
+_HEAVY_ACCOUNTS = 2
+_CALLERS_PER_HEAVY_ACCOUNT = 6
+_CALLERS_PER_LIGHT_ACCOUNT = 2
 _POISON_WORD = "eclipse"
-_WARM_S = 5.0
+_WARM_UP_S = 5.0
 _SETTLE_S = 5.0
 _PAUSE_S = 3.0
 _STREAM_FAULTS = ("kill_side", "kill_engine", "freeze_side", "hang_engine")
-_FOLDER = "run"
+_OUTPUT_FOLDER = "run"
 
 
 def _start(site: Site) -> list[str]:
@@ -65,7 +65,7 @@
         site.add_account(account)
     site.publish()
     for place in _PLACES:
-        for number, (first, end) in enumerate(_BOUNDS):
+        for number, (first, end) in enumerate(_STAGE_BOUNDS):
             spec = EngineSpec(
                 name=f"{place}-{number}",
                 data_centre=f"muscat-{place}",
@@ -88,11 +88,11 @@
 
 
 def _accounts() -> list[str]:
-    light = [f"light-{number}" for number in range(_LIGHT)]
-    return light + [f"heavy-{number}" for number in range(_HEAVY)]
+    light = [f"light-{number}" for number in range(_LIGHT_ACCOUNTS)]
+    return light + [f"heavy-{number}" for number in range(_HEAVY_ACCOUNTS)]
 
 
-def _kinds(send_poison: Any) -> list[Fault]:
+def _make_faults(send_poison: Any) -> list[Fault]:
     return [
         Kill("side"),
         Kill("engine"),
@@ -102,49 +102,51 @@
         HangEngine(),
         Restart("side"),
         Restart("entry"),
-        Platform("log_down", "log", {"down": True}, {"down": False}),
-        Platform("log_silent", "log", {"silent": True}, {"silent": False}),
-        Platform(
+        PlatformFault("log_down", "log", {"down": True}, {"down": False}),
+        PlatformFault("log_silent", "log", {"silent": True}, {"silent": False}),
+        PlatformFault(
             "log_lost_answers", "log", {"lose_answers": 5}, {"lose_answers": 0}
         ),
-        Platform("log_slow", "log", {"delay_ms": 400}, {"delay_ms": 0}),
-        Platform("list_down", "instances", {"down": True}, {"down": False}),
+        PlatformFault("log_slow", "log", {"delay_ms": 400}, {"delay_ms": 0}),
+        PlatformFault(
+            "list_down", "instances", {"down": True}, {"down": False}
+        ),
         RacingOperators(),
-        Poison(send_poison),
+        PoisonFault(send_poison),
     ]
 
 
-def _run(site: Site, record: Record, seed: int, seconds: float) -> None:
+def _run(site: Site, record: SoakRecord, seed: int, seconds: float) -> None:
     entries = _start(site)
     rng = random.Random(seed)
     stopped: set[str] = set()
     killed: dict[str, float] = {}
     callers = Callers(site, record, entries, killed)
     poison_rng = random.Random(rng.random())
-    bench = Bench(site, record, rng, stopped, killed)
-    conductor = Conductor(
-        bench,
-        _kinds(
+    context = FaultContext(site, record, rng, stopped, killed)
+    injector = FaultInjector(
+        context,
+        _make_faults(
             lambda: callers.send_poison("poisoner", _POISON_WORD, poison_rng)
         ),
         _PAUSE_S,
     )
-    watcher = gevent.spawn(Watcher(site, record, stopped).run)
+    monitor = gevent.spawn(ProcessMonitor(site, record, stopped).run)
     record.restart_clock()
     greenlets = _spawn_callers(callers, rng)
-    gevent.sleep(_WARM_S)
-    faults = gevent.spawn(conductor.run)
+    gevent.sleep(_WARM_UP_S)
+    faults = gevent.spawn(injector.run)
     gevent.sleep(seconds)
-    conductor.stopping = True
+    injector.stopping = True
     faults.join()
-    conductor.finish()
-    record.mended_s = record.now_s()
+    injector.finish()
+    record.recovered_s = record.now_s()
     gevent.sleep(_SETTLE_S)
     callers.stopping = True
     gevent.joinall(greenlets, timeout=60)
-    watcher.kill()
+    monitor.kill()
     if not all(greenlet.ready() for greenlet in greenlets):
-        record.violate("a caller never finished")
+        record.add_violation("a caller never finished")
     check_calls(site, record)
     check_engines(site, record)
 
@@ -155,7 +157,9 @@
     greenlets = []
     for account in _accounts():
         heavy = account.startswith("heavy")
-        for _ in range(_HEAVY_CALLERS if heavy else _LIGHT_CALLERS):
+        for _ in range(
+            _CALLERS_PER_HEAVY_ACCOUNT if heavy else _CALLERS_PER_LIGHT_ACCOUNT
+        ):
             greenlets.append(
                 gevent.spawn(
                     callers.run,
@@ -167,7 +171,7 @@
     return greenlets
 
 
-def _gaps_ms(record: Record) -> list[float]:
+def _stream_gaps_ms(record: SoakRecord) -> list[float]:
     """Returns, by fault, the longest wait of a stream that met it."""
     gaps = []
     for fault in record.faults:
@@ -186,7 +190,7 @@
     return sorted(gaps)
 
 
-def _goodput(record: Record, spans: list[FaultSpan], end_s: float) -> float:
+def _goodput(record: SoakRecord, spans: list[FaultSpan], end_s: float) -> float:
     """Returns tokens per second while a fault lasted."""
     busy = [False] * (int(end_s) + 1)
     for span in spans:
@@ -198,11 +202,13 @@
     return tokens / seconds if seconds else 0.0
 
 
-def _figures(record: Record) -> dict[str, float]:
+def _figures(record: SoakRecord) -> dict[str, float]:
     end_s = record.now_s()
-    gaps = _gaps_ms(record)
-    before = _goodput(record, [FaultSpan("", 1, _WARM_S - 1)], end_s)
-    after = FaultSpan("", record.mended_s + 1, record.mended_s + _SETTLE_S - 1)
+    gaps = _stream_gaps_ms(record)
+    before = _goodput(record, [FaultSpan("", 1, _WARM_UP_S - 1)], end_s)
+    after = FaultSpan(
+        "", record.recovered_s + 1, record.recovered_s + _SETTLE_S - 1
+    )
     base = before or 1.0
     figures: dict[str, float] = {
         "requests": sum(record.outcomes.values()),
@@ -232,7 +238,7 @@
     ]
 
 
-def _print_result(seed: int, record: Record) -> None:
+def _print_result(seed: int, record: SoakRecord) -> None:
     body = {
         "name": "soak",
         "commit": commit(),
@@ -253,8 +259,8 @@
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--seconds", type=float, default=60)
     options = parser.parse_args()
-    record = Record()
-    folder = pathlib.Path(_FOLDER) / f"soak-{options.seed}"
+    record = SoakRecord()
+    folder = pathlib.Path(_OUTPUT_FOLDER) / f"soak-{options.seed}"
     with make_site() as site:
         _run(site, record, options.seed, options.seconds)
         record.write(folder)
--- a/standins/soak/_callers.py
+++ b/standins/soak/_callers.py
@@ -11,14 +11,14 @@
 from caroblug.entry._tokenizer import make_tokenizer
 from standins import reference
 from standins.site import HOST, MODEL, Site, read_events
-from standins.soak._record import CallRecord, Record, StreamRecord
+from standins.soak._record import CallRecord, SoakRecord, StreamRecord
 
 _WORDS = ("star", "moon", "dome", "class", "night", "orbit", "seat", "comet")
 _STREAM_SHARE = 0.7
 _LOOKUP_SHARE = 0.15
 _RESEND_SHARE = 0.4
-_REQUEST_S = 40.0
-_HANG_S = 30.0
+_REQUEST_TIMEOUT_S = 40.0
+_HANG_THRESHOLD_S = 30.0
 _BACKOFF_S = 0.2
 _MAX_BACKOFF_S = 2.0
 _CREATED = 201
@@ -38,7 +38,7 @@
     def __init__(
         self,
         site: Site,
-        record: Record,
+        record: SoakRecord,
         entries: list[str],
         killed: dict[str, float],
     ) -> None:
@@ -63,10 +63,10 @@
 
     def send_poison(self, account: str, word: str, rng: random.Random) -> None:
         """Sends a request that crashes the engine which embeds `word`."""
-        body = self._body(f"{word} tonight", 4, 1)
-        self._exchange(account, body, rng.choice(self._entries), None)
+        body = self._make_body(f"{word} tonight", 4, 1)
+        self._stream_once(account, body, rng.choice(self._entries), None)
 
-    def _body(self, text: str, tokens: int, seed: int) -> dict[str, Any]:
+    def _make_body(self, text: str, tokens: int, seed: int) -> dict[str, Any]:
         return {
             "model": MODEL,
             "messages": [{"role": "user", "content": text}],
@@ -82,8 +82,8 @@
         seed = rng.randint(1, 10**6)
         text = " ".join(words)
         expected = self._expected(f"user: {text}", tokens, seed)
-        body = self._body(text, tokens, seed)
-        outcome = self._exchange(
+        body = self._make_body(text, tokens, seed)
+        outcome = self._stream_once(
             account, body, rng.choice(self._entries), expected
         )
         self._record.outcomes[f"stream.{outcome}"] += 1
@@ -103,7 +103,7 @@
             )
         )
 
-    def _exchange(
+    def _stream_once(
         self,
         account: str,
         body: dict[str, Any],
@@ -115,13 +115,15 @@
         seen = StreamRecord()
         self._record.streams.append(seen)
         outcome = "hung"
-        with gevent.Timeout(_REQUEST_S, False):
-            outcome = self._read_stream(account, body, entry, expected, seen)
+        with gevent.Timeout(_REQUEST_TIMEOUT_S, False):
+            outcome = self._send_and_read(account, body, entry, expected, seen)
         took_s = self._record.now_s() - since_s
-        if took_s > _HANG_S:
-            self._record.violate("request hung", entry=entry, took_s=took_s)
+        if took_s > _HANG_THRESHOLD_S:
+            self._record.add_violation(
+                "request hung", entry=entry, took_s=took_s
+            )
         if outcome == "broken" and not self._was_killed(entry, since_s):
-            self._record.violate(
+            self._record.add_violation(
                 "connection broke on a live entry",
                 entry=entry,
                 since_s=since_s,
@@ -129,7 +131,7 @@
             )
         return outcome
 
-    def _read_stream(
+    def _send_and_read(
         self,
         account: str,
         body: dict[str, Any],
@@ -140,7 +142,7 @@
         client = geventhttpclient.HTTPClient(
             HOST,
             self._site.processes[entry].http_port,
-            network_timeout=_REQUEST_S,
+            network_timeout=_REQUEST_TIMEOUT_S,
         )
         headers = {"Authorization": f"Bearer {self._site.keys[account]}"}
         try:
@@ -148,7 +150,9 @@
                 "POST", "/v1/chat/completions", orjson.dumps(body), headers
             )
             if response.status_code not in _SUCCESS:
-                return self._refusal(orjson.loads(bytes(response.read())))
+                return self._describe_refusal(
+                    orjson.loads(bytes(response.read()))
+                )
             return self._read_parts(response, expected, seen)
         except ConnectionRefusedError:
             return "refused_connection"
@@ -164,7 +168,7 @@
         finished = False
         for chunk in read_events(response):
             if "error" in chunk:
-                return self._refusal(chunk)
+                return self._describe_refusal(chunk)
             choice = chunk["choices"][0]
             part = choice["delta"].get("content", "")
             finished = choice["finish_reason"] is not None
@@ -174,20 +178,20 @@
                 seen.times_s.append(now_s)
                 self._record.token_times_s.extend([now_s] * part.count("w"))
             if expected is not None and not expected.startswith(text):
-                self._record.violate("answer is wrong", text=text[-60:])
+                self._record.add_violation("answer is wrong", text=text[-60:])
                 return "wrong"
         if not finished:
             return "broken"
         if expected is not None and text != expected:
-            self._record.violate("answer is not whole", length=len(text))
+            self._record.add_violation("answer is not whole", length=len(text))
             return "wrong"
         return "answered"
 
-    def _refusal(self, body: dict[str, Any]) -> str:
+    def _describe_refusal(self, body: dict[str, Any]) -> str:
         error = body.get("error", {})
         missing = {"type", "message", "ran", "retry_after_ms"} - set(error)
         if missing:
-            self._record.violate("refusal without fields", body=body)
+            self._record.add_violation("refusal without fields", body=body)
             return "bad_refusal"
         return f"{error['type']}.{error['ran']}"
 
@@ -224,7 +228,7 @@
         calls.statuses.append(status)
         calls.ran.append(ran)
         self._record.outcomes[f"booking.{status or 'broken'}.{ran}"] += 1
-        self._record.event(
+        self._record.add_event(
             "booking", key=key, entry=entry, status=status, ran=ran
         )
 
@@ -252,9 +256,9 @@
         except (ConnectionError, OSError):
             return 0, "unknown"
         finally:
-            if time.monotonic() - since > _HANG_S:
-                self._record.violate("call hung", entry=entry, key=key)
+            if time.monotonic() - since > _HANG_THRESHOLD_S:
+                self._record.add_violation("call hung", entry=entry, key=key)
         if answer.status in _SUCCESS:
             return answer.status, "yes"
-        self._refusal(answer.json())
+        self._describe_refusal(answer.json())
         return answer.status, answer.json()["error"]["ran"]
--- a/standins/soak/_record.py
+++ b/standins/soak/_record.py
@@ -44,11 +44,11 @@
     end_s: float
 
 
-class Record:
+class SoakRecord:
     """Collects everything that a soak sees."""
 
     def __init__(self) -> None:
-        self.mended_s = 0.0
+        self.recovered_s = 0.0
         self._started = time.monotonic()
         self.outcomes: collections.Counter[str] = collections.Counter()
         self.faults: list[FaultSpan] = []
@@ -66,16 +66,16 @@
         """Returns seconds since the soak began."""
         return time.monotonic() - self._started
 
-    def event(self, kind: str, **fields: Any) -> None:
+    def add_event(self, kind: str, **fields: Any) -> None:
         """Adds an event to the trace."""
         self._events.append(
             {"at_s": round(self.now_s(), 3), "kind": kind, **fields}
         )
 
-    def violate(self, what: str, **fields: Any) -> None:
+    def add_violation(self, what: str, **fields: Any) -> None:
         """Notes a broken promise."""
         self.violations.append(what)
-        self.event("violation", what=what, **fields)
+        self.add_event("violation", what=what, **fields)
 
     def write(self, folder: pathlib.Path) -> None:
         """Writes the trace into a folder."""
--- a/standins/supervisor.py
+++ b/standins/supervisor.py
@@ -16,15 +16,15 @@
         pause_s: Time until a server that has ended is started again.
     """
 
-    def __init__(self, site: Site, pause_s: float = 0.3) -> None:
+    def __init__(self, site: Site, restart_delay_s: float = 0.3) -> None:
         self.crashes = 0
         self._site = site
-        self._pause_s = pause_s
-        self._watch = gevent.spawn(self._run)
+        self._restart_delay_s = restart_delay_s
+        self._greenlet = gevent.spawn(self._run)
 
     def stop(self) -> None:
         """Restarts nothing any more."""
-        self._watch.kill()
+        self._greenlet.kill()
 
     def _run(self) -> None:
         while True:
@@ -33,5 +33,5 @@
                 if process.role not in _ROLES or process.popen.poll() is None:
                     continue
                 self.crashes += 1
-                gevent.sleep(self._pause_s)
+                gevent.sleep(self._restart_delay_s)
                 self._site.restart(process.name)
--- a/standins/tests/test_bundles.py
+++ b/standins/tests/test_bundles.py
@@ -170,8 +170,8 @@
     site.start_platform()
     site.publish()
     _entries(site, "entry-a", "entry-b")
-    address = f"127.0.0.1:{site.instances_port}"
-    answer = site.bundle_command(
+    address = f"127.0.0.1:{site.instance_list_port}"
+    answer = site.run_bundle_command(
         "withdraw", "entry-b", "--instances", address, check=False
     )
     assert (answer.returncode, answer.stdout) == (0, "entry-b has drained\n")
@@ -180,14 +180,15 @@
     command = ["status", *site.log_options(), "--instances", address]
     site.wait_for(
         lambda: (
-            "entry-b" not in site.bundle_command(*command, check=False).stdout
+            "entry-b"
+            not in site.run_bundle_command(*command, check=False).stdout
         ),
         "the list without entry-b",
     )
-    answer = site.bundle_command(*command)
+    answer = site.run_bundle_command(*command)
     assert "entry-a (entry, a): version 1 since" in answer.stdout
     assert "1 of 1 instances have version 1" in answer.stdout
-    answer = site.bundle_command(
+    answer = site.run_bundle_command(
         "withdraw", "entry-x", "--instances", address, check=False
     )
     assert answer.returncode == 2
--- a/standins/tests/test_deadline.py
+++ b/standins/tests/test_deadline.py
@@ -6,7 +6,7 @@
     MODEL,
     EntrySpec,
     make_site,
-    three_stages,
+    make_three_stages,
 )
 
 _SLOW = ("--batch=2", "--step-ms=50")
@@ -20,7 +20,7 @@
         running.start_platform()
         running.add_account("school-1")
         running.publish()
-        for spec in three_stages(options=_SLOW)[:3]:
+        for spec in make_three_stages(options=_SLOW)[:3]:
             running.start_engine(spec)
         running.start_entry(EntrySpec(name="entry-a", data_centre="muscat-a"))
         running.wait_ready()
@@ -45,5 +45,5 @@
     assert error["ran"] == "no"
     assert error["retry_after_ms"] > 0
     engines = [p.name for p in site.processes.values() if p.role == "engine"]
-    assert sum(site.observe(e)["layers_run"] for e in engines) == 0
+    assert sum(site.read_counters(e)["layers_run"] for e in engines) == 0
     assert _ask(site, 4).status == 200
--- a/standins/tests/test_once.py
+++ b/standins/tests/test_once.py
@@ -49,7 +49,7 @@
         if process.popen.poll() is None:
             continue
         del site.processes[process.name]
-        site.list_instance_gone(process)
+        site.unlist_instance(process)
         name = f"{process.name}-again"
         if process.role == "entry":
             site.start_entry(
@@ -87,7 +87,7 @@
 
 
 def _runs(site, key):
-    return sum(site.observe(p)["runs"].get(key, 0) for p in _plains(site))
+    return sum(site.read_counters(p)["runs"].get(key, 0) for p in _plains(site))
 
 
 def _started(site, name):
@@ -98,7 +98,7 @@
     """Waits until the service runs a key; returns the owner's name."""
     site.wait_for(lambda: _runs(site, key) > 0, f"a run of {key}")
     for plain in _plains(site):
-        if key in site.observe(plain)["runs"]:
+        if key in site.read_counters(plain)["runs"]:
             place = plain.removeprefix("plain-")
             return next(s for s in _sides(site) if s.split("-")[1] == place)
     raise AssertionError(key)
@@ -191,12 +191,12 @@
 def test_side_dies_between_intent_and_call(site):
     """The intent is on the log, the call was never made: still unknown."""
     before = {s: _started(site, s) for s in _sides(site)}
-    appends = site.observe("log")["appends"]
+    appends = site.read_counters("log")["appends"]
     site.control("log", {"answer_delay_ms": 700})
     lost = _spawn_book(site, "before-call")
     owner = _wait_admitted(site, before)
     site.wait_for(
-        lambda: site.observe("log")["appends"] > appends, "the intent"
+        lambda: site.read_counters("log")["appends"] > appends, "the intent"
     )
     site.processes[owner].kill()
     assert lost.get().json()["error"]["ran"] == "unknown"
@@ -214,12 +214,12 @@
     books once.
     """
     before = {s: _started(site, s) for s in _sides(site)}
-    appends = site.observe("log")["appends"]
+    appends = site.read_counters("log")["appends"]
     site.control("log", {"answer_delay_ms": 700})
     lost = _spawn_book(site, "paused")
     owner = _wait_admitted(site, before)
     site.wait_for(
-        lambda: site.observe("log")["appends"] > appends, "the intent"
+        lambda: site.read_counters("log")["appends"] > appends, "the intent"
     )
     site.processes[owner].signal(signal.SIGSTOP)
     site.control("log", {"answer_delay_ms": 0})
@@ -239,14 +239,15 @@
 def test_lost_answer_of_an_append_is_read_back(site):
     """The log takes the intent, but its answer never arrives."""
     _book(site, "warm")
-    appends = site.observe("log")["appends"]
+    appends = site.read_counters("log")["appends"]
     site.control("log", {"lose_answers": 1})
     assert _book(site, "lost-answer").status == 201
     assert _runs(site, "lost-answer") == 1
     site.wait_for(
-        lambda: site.observe("log")["appends"] >= appends + 2, "the outcome"
+        lambda: site.read_counters("log")["appends"] >= appends + 2,
+        "the outcome",
     )
-    assert site.observe("log")["appends"] == appends + 2
+    assert site.read_counters("log")["appends"] == appends + 2
 
 
 @pytest.mark.parametrize("fault", ["down", "silent"])
@@ -286,7 +287,7 @@
         return site.call(entry, _ACCOUNT, "GET", "/services/booking/seats")
 
     def _look_ups(plain):
-        return site.observe(plain)["runs"].get("", 0)
+        return site.read_counters(plain)["runs"].get("", 0)
 
     def _resends():
         return site.metric(entry, "caroblug_plain_resends_total") - earlier
--- a/standins/tests/test_orders.py
+++ b/standins/tests/test_orders.py
@@ -91,7 +91,7 @@
         site.wait_for(lambda: _answer().status == 200, "an answer")
         content = _answer().json()["choices"][0]["message"]["content"]
         assert content == _expected(site)
-        store = site.observe("weights")
+        store = site.read_counters("weights")
         assert store["given"] == 3
         assert store["early"] == 0
 
@@ -112,7 +112,8 @@
         site.bundle["placements"] = {"side-a-0": _placement(12, "v1")}
         site.publish()
         site.wait_for(
-            lambda: site.observe("engine-a-0")["arrived"] == 1, "the order"
+            lambda: site.read_counters("engine-a-0")["arrived"] == 1,
+            "the order",
         )
         site.processes["side-a-0"].signal(signal.SIGSTOP)
         site.control("engine-a-0", {"holds_orders": False})
@@ -127,7 +128,7 @@
         site.control("engine-a-0", {"land": True})
 
         def _has_landed():
-            seen = site.observe("engine-a-0")
+            seen = site.read_counters("engine-a-0")
             if option == "--check-fence":
                 return seen["fenced"] == 1
             return seen["orders"] >= 3 and _version(site) == "v2"
--- a/standins/tests/test_path.py
+++ b/standins/tests/test_path.py
@@ -52,7 +52,7 @@
 def test_no_engine_ran_a_position_twice(site):
     _complete(site, _body())
     engines = [p for p in site.processes.values() if p.role == "engine"]
-    assert sum(site.observe(e.name)["repeated"] for e in engines) == 0
+    assert sum(site.read_counters(e.name)["repeated"] for e in engines) == 0
 
 
 @pytest.mark.parametrize(
--- a/standins/tests/test_recovery.py
+++ b/standins/tests/test_recovery.py
@@ -4,12 +4,12 @@
 
 import pytest
 
-from standins.callers import Caller, Load
+from standins.callers import Caller, ClosedLoopLoad
 from standins.site import EngineSpec, EntrySpec, make_site
 
 _ACCOUNT = "school-1"
 _TOKENS = 300
-_BEFORE_FAULT = 20
+_CHUNKS_BEFORE_FAULT = 20
 _BOUNDS = ((0, 12), (12, 24))
 _SIDES = ("side-a-0", "side-a-1", "side-b-0", "side-b-1")
 _PROMPT = "two planets rise over the autumn dome"
@@ -43,7 +43,7 @@
 
 
 @pytest.fixture(autouse=True)
-def _whole(site):
+def _restore_and_check(site):
     """Begins with every side known, ends with no stream kept anywhere."""
     for name in _SIDES:
         process = site.processes[name]
@@ -59,10 +59,10 @@
         ),
         "the end of every stream",
     )
-    assert _repeated(site) == 0
+    assert _repeated_runs(site) == 0
 
 
-def _ask(site, seed, tokens=_TOKENS, entry="entry-a"):
+def _request(site, seed, tokens=_TOKENS, entry="entry-a"):
     return Caller(site, entry, _ACCOUNT, _PROMPT, tokens, seed)
 
 
@@ -74,18 +74,18 @@
     }
 
 
-def _begin(site, seed, tokens=_TOKENS):
+def _start_stream(site, seed, tokens=_TOKENS):
     """Returns a caller whose tokens flow, and the sides of its chain."""
     before = _opened(site)
-    caller = _ask(site, seed, tokens)
-    caller.wait_parts(_BEFORE_FAULT)
+    caller = _request(site, seed, tokens)
+    caller.wait_for_chunks(_CHUNKS_BEFORE_FAULT)
     now = _opened(site)
-    used = sorted(
+    sides = sorted(
         (name for name in now if now[name] > before[name]),
         key=lambda name: name[-1],
     )
-    assert len(used) == len(_BOUNDS)
-    return caller, used
+    assert len(sides) == len(_BOUNDS)
+    return caller, sides
 
 
 def _engine(side):
@@ -93,12 +93,12 @@
 
 
 def _layers_run(site, side):
-    return site.observe(_engine(side))["layers_run"]
+    return site.read_counters(_engine(side))["layers_run"]
 
 
-def _repeated(site):
+def _repeated_runs(site):
     return sum(
-        site.observe(name)["repeated"]
+        site.read_counters(name)["repeated"]
         for name, process in site.processes.items()
         if process.role == "engine"
     )
@@ -115,9 +115,9 @@
     replacement from its journal, and its engine runs each position once.
     """
     before = {s: _layers_run(site, s) for s in _opened(site)}
-    caller, (first, last) = _begin(site, 11)
+    caller, (first, last) = _start_stream(site, 11)
     site.processes[last].kill()
-    assert caller.join().right
+    assert caller.join().is_correct
     layers = 12 * (len(caller.prompt_tokens()) + _TOKENS - 1)
     assert _layers_run(site, first) - before[first] == layers
 
@@ -129,16 +129,16 @@
     on no connection and is replaced. Awake again it holds an old attempt,
     which its peers refuse and which it then forgets.
     """
-    caller, (_, last) = _begin(site, 12)
+    caller, (_, last) = _start_stream(site, 12)
     site.processes[last].signal(signal.SIGSTOP)
-    assert caller.join().right
+    assert caller.join().is_correct
     site.processes[last].signal(signal.SIGCONT)
     site.wait_for(
         lambda: site.metric(last, "caroblug_streams") == 0,
         "the old attempt's end",
     )
     site.wait_ready()
-    assert _ask(site, 13, 30).join().right
+    assert _request(site, 13, 30).join().is_correct
 
 
 def test_hung_engine_is_found_by_its_side(site):
@@ -147,9 +147,9 @@
     An engine hangs behind a side process that lives; the side takes it for
     lost, tells the entry, and offers the engine again once it answers.
     """
-    caller, (first, _) = _begin(site, 14)
+    caller, (first, _) = _start_stream(site, 14)
     site.control(_engine(first), {"hang": True})
-    assert caller.join().right
+    assert caller.join().is_correct
     site.control(_engine(first), {"hang": False})
     site.wait_http(site.processes[first].http_port, "/readyz")
 
@@ -161,16 +161,16 @@
     tells the entry, and the stage it can't reach is replaced.
     """
     for seed in range(100, 130):
-        caller, used = _begin(site, seed)
-        if used == ["side-a-0", "side-a-1"]:
+        caller, sides = _start_stream(site, seed)
+        if sides == ["side-a-0", "side-a-1"]:
             break
-    assert used == ["side-a-0", "side-a-1"], "no chain over the relays"
+    assert sides == ["side-a-0", "side-a-1"], "no chain over the relays"
     site.control("relay-side-a-1", {"cut": "side-a-0"})
     site.control("relay-side-a-0", {"cut": "side-a-1"})
-    assert caller.join().right
+    assert caller.join().is_correct
     site.control("relay-side-a-1", {"heal": "side-a-0"})
     site.control("relay-side-a-0", {"heal": "side-a-1"})
-    assert _repeated(site) == 0
+    assert _repeated_runs(site) == 0
 
 
 @pytest.mark.parametrize("order", ["silence", "reset"])
@@ -182,10 +182,10 @@
     and no stream needs another attempt.
     """
     recovered = _recovered(site)
-    caller, _ = _begin(site, 16)
+    caller, _ = _start_stream(site, 16)
     for relay in ("relay-side-a-0", "relay-side-a-1"):
         site.control(relay, {order: "*"})
-    assert caller.join().right
+    assert caller.join().is_correct
     assert _recovered(site) == recovered
 
 
@@ -195,10 +195,10 @@
     One stage is killed and the other frozen at the same moment: no stage
     lives on, and a whole new chain runs the prompt again.
     """
-    caller, (first, last) = _begin(site, 17)
+    caller, (first, last) = _start_stream(site, 17)
     site.processes[first].signal(signal.SIGSTOP)
     site.processes[last].kill()
-    assert caller.join().right
+    assert caller.join().is_correct
     site.processes[first].signal(signal.SIGCONT)
 
 
@@ -210,8 +210,8 @@
     """
     site.start_entry(EntrySpec(name="entry-b", data_centre="muscat-b"))
     site.wait_ready()
-    caller = _ask(site, 18, 5000, entry="entry-b")
-    caller.wait_parts(_BEFORE_FAULT)
+    caller = _request(site, 18, 5000, entry="entry-b")
+    caller.wait_for_chunks(_CHUNKS_BEFORE_FAULT)
     site.processes.pop("entry-b").kill()
     site.wait_for(
         lambda: all(
@@ -219,7 +219,7 @@
         ),
         "the end of the dead entry's streams",
     )
-    assert not caller.join().right
+    assert not caller.join().is_correct
 
 
 def test_leaving_side_hands_its_streams_on(site):
@@ -229,9 +229,9 @@
     before it ends, another first stage takes over and the last one goes on.
     The old one is told so, and must not end the stage behind it as well.
     """
-    caller, (first, _) = _begin(site, 19, 800)
+    caller, (first, _) = _start_stream(site, 19, 800)
     assert site.stop(first) == 0
-    assert caller.join().right
+    assert caller.join().is_correct
     assert site.metric("entry-a", "caroblug_streams_handed_on_total") >= 1
 
 
@@ -242,19 +242,19 @@
     entry opens nothing new there, the side drains by itself, and callers
     who come meanwhile see nothing of it.
     """
-    caller, (first, _) = _begin(site, 20)
+    caller, (first, _) = _start_stream(site, 20)
     site.list_instance(first, "leaving")
     site.wait_for(
         lambda: site.metric("entry-a", "caroblug_listed_leaving") == 1,
         "the list's change",
     )
     before = site.metric(first, "caroblug_streams_opened_total")
-    later = [_ask(site, 30 + number, 60) for number in range(4)]
-    for another in later:
-        assert another.join().right
+    later_callers = [_request(site, 30 + number, 60) for number in range(4)]
+    for later_caller in later_callers:
+        assert later_caller.join().is_correct
         # It may have drained and ended by now, which is right as well.
         assert _opened_until_end(site, first) in (before, None)
-    assert caller.join().right
+    assert caller.join().is_correct
     assert site.processes[first].popen.wait(30) == 0
     site.list_instance(first)
 
@@ -279,7 +279,7 @@
     """
     site.start_entry(EntrySpec(name="entry-b", data_centre="muscat-b"))
     site.wait_ready()
-    load = Load(site, _ACCOUNT, ("entry-a", "entry-b"), tokens=40)
+    load = ClosedLoopLoad(site, _ACCOUNT, ("entry-a", "entry-b"), tokens=40)
     for name in (*_SIDES, "entry-a", "entry-b"):
         assert site.stop(name) == 0
         site.restart(name)
--- a/standins/weights.py
+++ b/standins/weights.py
@@ -12,7 +12,7 @@
 from standins._serve import make_app, serve
 
 
-class Weights:
+class WeightStore:
     """The store's state.
 
     Args:
@@ -26,50 +26,52 @@
         self.given = 0
         self.refused = 0
         self.early = 0
-        self._times: list[float] = []
-        self._told: dict[str, float] = {}
+        self._granted_at_s: list[float] = []
+        self._retry_at_s: dict[str, float] = {}
 
-    def reserve(self, who: str) -> float:
+    def reserve(self, client: str) -> float:
         """Gives leave and returns 0, or returns the seconds to wait."""
         now = time.monotonic()
-        self.early += now < self._told.pop(who, now)
-        self._times = [t for t in self._times if t > now - self.period_s]
-        if len(self._times) < self.loads:
-            self._times.append(now)
+        self.early += now < self._retry_at_s.pop(client, now)
+        self._granted_at_s = [
+            t for t in self._granted_at_s if t > now - self.period_s
+        ]
+        if len(self._granted_at_s) < self.loads:
+            self._granted_at_s.append(now)
             self.given += 1
             return 0.0
         self.refused += 1
-        wait_s = self._times[0] + self.period_s - now
-        self._told[who] = now + wait_s
+        wait_s = self._granted_at_s[0] + self.period_s - now
+        self._retry_at_s[client] = now + wait_s
         return wait_s
 
 
-class _Loads:
-    def __init__(self, weights: Weights) -> None:
-        self._weights = weights
+class _LoadsResource:
+    def __init__(self, store: WeightStore) -> None:
+        self._store = store
 
     def on_post(self, request: falcon.Request, response: falcon.Response):
-        who = f"{request.remote_addr}:{request.env.get('REMOTE_PORT')}"
-        wait_s = self._weights.reserve(who)
+        client = f"{request.remote_addr}:{request.env.get('REMOTE_PORT')}"
+        wait_s = self._store.reserve(client)
         if wait_s:
             response.status = falcon.HTTP_429
             response.set_header("Retry-After", f"{wait_s:.3f}")
             return
         response.status = falcon.HTTP_201
-        response.media = {"ticket": str(self._weights.given)}
+        response.media = {"ticket": str(self._store.given)}
 
 
-class _Counts:
-    def __init__(self, weights: Weights) -> None:
-        self._weights = weights
+class _ControlResource:
+    def __init__(self, store: WeightStore) -> None:
+        self._store = store
 
     def on_get(self, request: falcon.Request, response: falcon.Response):
         del request
-        weights = self._weights
+        store = self._store
         response.media = {
-            "given": weights.given,
-            "refused": weights.refused,
-            "early": weights.early,
+            "given": store.given,
+            "refused": store.refused,
+            "early": store.early,
         }
 
 
@@ -80,10 +82,10 @@
     parser.add_argument("--loads", type=int, default=2)
     parser.add_argument("--period-s", type=float, default=1.0)
     options = parser.parse_args()
-    weights = Weights(options.loads, options.period_s)
+    store = WeightStore(options.loads, options.period_s)
     app = make_app()
-    app.add_route("/v1/loads", _Loads(weights))
-    app.add_route("/control", _Counts(weights))
+    app.add_route("/v1/loads", _LoadsResource(store))
+    app.add_route("/control", _ControlResource(store))
     serve(app, options.port)
 
 
