--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for the systems outside; never shipped."""
+"""Stand-ins for external systems, for tests and benchmarks; not shipped."""
--- a/standins/_ports.py
+++ b/standins/_ports.py
@@ -1,4 +1,4 @@
-"""Free ports below the range from which connections take theirs."""
+"""Allocation of free ports below the ephemeral port range."""
 
 import random
 import socket
@@ -9,14 +9,14 @@
 
 
 class Ports:
-    """Hands out free ports, each to one process of the machine.
+    """Allocates free ports, each to a single process of the machine.
 
-    A port is reserved until the process ends, as programs bind it later than
-    it is handed out and again after each restart.
+    A port is reserved until the allocating process ends, because a program
+    binds its port later than the allocation and again after each restart.
 
     Args:
-        first: First port.
-        end: One past the last port.
+        first: First port of the range.
+        end: One past the last port of the range.
     """
 
     def __init__(self, first: int = _FIRST_PORT, end: int = _END_PORT) -> None:
@@ -26,7 +26,7 @@
         self._reservations: list[socket.socket] = []
 
     def take(self) -> int:
-        """Returns a free port."""
+        """Reserves and returns a free port."""
         while True:
             port = self._random.randrange(self._first, self._end)
             reservation = _reserve(port)
@@ -38,14 +38,19 @@
 
 
 def _reserve(port: int) -> socket.socket | None:
-    """Reserves a port among all processes that ask here.
+    """Reserves a port among all processes that use this module.
+
+    Args:
+        port: The port to reserve.
 
     Returns:
-        What holds the reservation while it is open; None if another has it.
+        A socket that holds the reservation while it is open; None if another
+        process holds it.
     """
     reservation = socket.socket(socket.AF_UNIX)
     try:
-        # An abstract name: it is gone with the process, and needs no file.
+        # An abstract socket name needs no file and disappears with the
+        # process.
         reservation.bind(f"\0caroblug-port-{port}")
     except OSError:
         reservation.close()
--- a/standins/_serve.py
+++ b/standins/_serve.py
@@ -1,4 +1,4 @@
-"""What every stand-in has: a server on loopback and JSON answers."""
+"""HTTP server on loopback that every stand-in uses."""
 
 import signal
 import sys
@@ -15,7 +15,7 @@
 
 
 def make_app() -> falcon.App:
-    """Returns an application that speaks JSON through orjson."""
+    """Returns an application that reads and writes JSON with orjson."""
     app = falcon.App()
     handler = media.JSONHandler(dumps=orjson.dumps, loads=orjson.loads)
     app.req_options.media_handlers["application/json"] = handler
@@ -24,7 +24,12 @@
 
 
 def serve(app: falcon.App, port: int) -> None:
-    """Serves until SIGTERM."""
+    """Serves an application on a loopback port until SIGTERM.
+
+    Args:
+        app: The application.
+        port: Port to listen on.
+    """
     server = pywsgi.WSGIServer(
         listen(HOST, port), app, log=None, error_log=None
     )
--- a/standins/callers.py
+++ b/standins/callers.py
@@ -1,4 +1,4 @@
-"""Callers that stream answers and note when each part came."""
+"""Clients that stream completions and record when each chunk arrived."""
 
 import random
 import time
@@ -16,27 +16,28 @@
 
 
 def make_prompt(generator: random.Random, words: int) -> str:
-    """Returns a prompt of `words` words."""
+    """Returns a random prompt of `words` words."""
     return " ".join(generator.choice(_WORDS) for _ in range(words))
 
 
 class Caller:
-    """One streamed completion.
+    """Client that requests one streamed completion in the background.
 
     Args:
-        site: Where it is asked.
-        entry: The entry that is asked.
+        site: The running site.
+        entry: Name of the entry that receives the request.
         account: The client account.
         prompt: The prompt.
-        tokens: Tokens to generate.
+        tokens: Number of tokens to generate.
         seed: Seed of the sampling.
 
     Attributes:
-        entry: The entry that is asked.
-        arrivals: Monotonic time in seconds of each part with text.
-        stream: The stream's name, once known.
-        refusal: The refusal, if one came.
-        broken: What ended the connection, if something did.
+        entry: Name of the entry that receives the request.
+        arrivals: Monotonic time in seconds of each chunk with text.
+        stream: Identifier of the stream; empty until the first chunk.
+        refusal: The refusal, if the entry sent one.
+        connection_error: The error that ended the connection; empty if
+            there was none.
     """
 
     def __init__(
@@ -63,17 +64,17 @@
 
     @property
     def text(self) -> str:
-        """The text so far."""
+        """The text received so far."""
         return "".join(self._texts)
 
     @property
     def is_correct(self) -> bool:
-        """Whether the text is the whole right answer."""
+        """Whether the text is the whole expected text."""
         return self.text == self.expected()
 
     @property
     def failure(self) -> str:
-        """What was wrong with the answer; empty if nothing was."""
+        """The reason why the completion failed; empty if it is correct."""
         if self.is_correct:
             return ""
         return self.connection_error or str(self.refusal) or "wrong text"
@@ -85,7 +86,7 @@
         return tokenizer.encode(f"user: {self.prompt}")
 
     def expected(self) -> str:
-        """Returns the right answer."""
+        """Returns the text of a correct completion."""
         model = self._site.bundle["models"][MODEL]
         tokenizer = make_tokenizer(model["vocabulary"])
         tokens = reference.expected_tokens(
@@ -98,14 +99,14 @@
         return tokenizer.decode(tokens)
 
     def wait_for_chunks(self, count: int) -> None:
-        """Waits until `count` parts have come."""
+        """Waits until `count` chunks with text have arrived."""
         self._site.wait_for(
             lambda: len(self.arrivals) >= count or self._greenlet.ready(),
-            f"{count} parts of an answer",
+            f"{count} chunks of a completion",
         )
 
     def join(self) -> "Caller":
-        """Waits for the end of the answer."""
+        """Waits for the end of the completion."""
         self._greenlet.join()
         return self
 
@@ -134,15 +135,15 @@
 
 
 class ClosedLoopLoad:
-    """Callers who come one after the other until they are stopped.
+    """Closed loops of completions that run until they are stopped.
 
     Args:
-        site: Where they ask.
-        account: Their client account.
-        entries: Entries behind the balancer; one that is not ready is left
-            out.
-        tokens: Tokens of each answer.
-        at_once: Answers at any time.
+        site: The running site.
+        account: The client account.
+        entries: Entries behind an emulated load balancer, which skips those
+            that are not ready.
+        tokens: Number of tokens of each completion.
+        concurrency: Number of concurrent completions.
     """
 
     def __init__(
@@ -165,7 +166,7 @@
         ]
 
     def stop(self) -> list[Caller]:
-        """Waits for the last answers and returns every caller."""
+        """Waits for the running completions and returns every caller."""
         self._stopped = True
         gevent.joinall(self._greenlets)
         return self._callers
--- a/standins/demo.py
+++ b/standins/demo.py
@@ -1,4 +1,4 @@
-"""The demo: one streamed answer and one booking over real processes."""
+"""Demo of one streamed completion and one booking over real processes."""
 
 from gevent import monkey
 
@@ -23,7 +23,7 @@
 
 
 def start(site: Site) -> None:
-    """Starts two data centres, an entry in each."""
+    """Starts engines, plain services and entries in two data centres."""
     site.start_platform()
     site.add_account("school-1", group="schools")
     site.publish()
@@ -40,7 +40,7 @@
 
 
 def print_answer(site: Site) -> bool:
-    """Prints a streamed answer and tells whether it is right."""
+    """Prints a streamed completion and returns whether it is correct."""
     body = {
         "model": MODEL,
         "messages": [{"role": "user", "content": _PROMPT}],
@@ -66,7 +66,7 @@
 
 
 def print_booking(site: Site) -> bool:
-    """Prints a booking's answer and tells whether it ran once."""
+    """Prints the response to a booking and returns whether it ran once."""
     response = site.call(
         "entry-b",
         "school-1",
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -1,10 +1,10 @@
-"""A stand-in model engine that holds a range of layers.
+"""Stand-in for a model engine that holds a range of layers.
 
-It batches continuously: each iteration takes what waits, up to a number of
-positions, and takes a fixed time plus a time for each position. It keeps one
-cache per stream and layer, and never refuses a position that it has already
-run: as on a real engine, that spoils the cache, and the answer shows it. A
-session that it does not hold, as after a restart, is an error.
+The engine uses continuous batching: each iteration runs the pending items up
+to a number of positions, and lasts a fixed time plus a time per position. It
+has one cache per session and layer. As on a real engine, a position that is
+run twice is accepted and corrupts the cache, so that the tokens are wrong. An
+item of an unknown session, as after a restart, is an error.
 """
 
 from gevent import monkey
@@ -41,7 +41,12 @@
 
 @attrs.define
 class _Session:
-    """The caches of one stream, and how far each layer has run."""
+    """Cache of one stream.
+
+    Attributes:
+        caches: Last output by layer.
+        done: Number of positions that each layer has run.
+    """
 
     caches: dict[int, bytes] = attrs.field(factory=dict)
     done: dict[int, int] = attrs.field(factory=dict)
@@ -49,16 +54,28 @@
 
 @attrs.frozen
 class _PendingItem:
+    """An item that waits for an iteration, with the time of its arrival."""
+
     item: dict[str, Any]
     result: event.AsyncResult
     since: float = attrs.field(factory=time.monotonic)
 
 
 class Engine:
-    """The engine's state and its loop.
+    """State and batching loop of the engine.
 
     Args:
-        options: The command line.
+        options: Options of the command line.
+
+    Attributes:
+        hung: Whether the engine accepts requests without responding.
+        arrived: Number of orders received.
+        orders: Number of orders applied.
+        fenced: Number of orders refused for an old fencing number.
+        holds_orders: Whether a received order waits for `orders_released`.
+        layers_run: Number of (layer, position) pairs run.
+        repeated: Number of those that were not the layer's next position.
+        timings: Session, arrival and end of each item, if recorded.
     """
 
     def __init__(self, options: argparse.Namespace) -> None:
@@ -80,7 +97,7 @@
         self._wake = event.Event()
 
     def describe(self) -> dict[str, Any]:
-        """Returns what the engine says of itself."""
+        """Returns the engine's description of itself."""
         options = self.options
         return {
             "model": options.model,
@@ -95,13 +112,21 @@
         }
 
     def positions_per_s(self) -> float:
-        """Returns positions per second in full batches."""
+        """Returns the positions per second that full batches run."""
         options = self.options
         iteration_ms = self.step_ms + options.batch * options.position_ms
         return options.batch * 1000 / iteration_ms
 
     def apply_order(self, body: dict[str, Any]) -> bool:
-        """Takes a whole state; False if its number is an old one."""
+        """Applies an order, which holds the engine's whole new state.
+
+        Args:
+            body: The order.
+
+        Returns:
+            Whether the order was applied; False if its fencing number is
+            lower than that of an earlier order.
+        """
         self.arrived += 1
         if self.holds_orders:
             self.orders_released.wait()
@@ -117,21 +142,22 @@
         return True
 
     def submit(self, item: dict[str, Any]) -> event.AsyncResult:
-        """Queues an item for the next iterations."""
+        """Queues an item and returns its future result."""
         result: event.AsyncResult = event.AsyncResult()
         self._pending.append(_PendingItem(item, result))
         self._wake.set()
         return result
 
     def end_session(self, session: str) -> None:
-        """Frees the cache of a stream."""
+        """Frees the caches of a session."""
         self._sessions.pop(session, None)
 
     def run(self) -> None:
-        """Runs iterations for ever.
+        """Runs iterations forever.
 
-        An iteration that follows another at once begins when that one was due
-        to end, so that a busy machine's late timers don't lower the capacity.
+        If items are pending, the next iteration is timed from the moment at
+        which the previous one was due to end. Late timers on a busy machine
+        therefore do not lower the throughput.
         """
         free_at = 0.0
         while True:
@@ -156,7 +182,7 @@
                 self._record_timings(batch)
 
     def _record_timings(self, batch: list[_PendingItem]) -> None:
-        """Keeps when items were here, by the machine's monotonic clock."""
+        """Records when items arrived and ended, by the monotonic clock."""
         now = time.monotonic()
         self.timings.extend((w.item["session"], w.since, now) for w in batch)
 
@@ -203,7 +229,8 @@
                 os.kill(os.getpid(), signal.SIGKILL)
             return state
         options = self.options
-        # A generated token may be equal to the poison; only a prompt strikes.
+        # A generated token may equal the poison token; only one at the
+        # prompt's position crashes the engine.
         if (
             value == options.poison_token
             and position == options.poison_position
@@ -284,9 +311,10 @@
 
 
 class _ControlResource:
-    """Orders from tests: `crash`, `hang`, `step_ms`, and of late orders.
+    """Sets faults for tests and returns the counters.
 
-    With `holds_orders`, an order that arrives waits for `land`.
+    Keys: `crash`, `hang`, `step_ms`, `holds_orders` (a received order waits)
+    and `land` (waiting orders are applied).
     """
 
     def __init__(self, engine: Engine) -> None:
--- a/standins/followers.py
+++ b/standins/followers.py
@@ -1,8 +1,10 @@
-"""Many followers of bundles in one process, over real sockets.
+"""Runs many followers of the bundle log in one process, over real sockets.
 
-Reads the nodes' settings as one JSON line. Then prints one line for each new
-head at a node: version, node, time in ms of the machine's monotonic clock.
-The order `bytes` is answered by the bytes and messages sent by all nodes.
+The first line of standard input is a JSON list of the followers' settings.
+The process prints one line for each new head: its version, the instance and
+the time in ms of the machine's monotonic clock. For each further line of
+input it prints the totals over all followers: bytes sent, frames sent, log
+reads, followers that are ready, connections and processor time in ms.
 """
 
 from gevent import monkey
@@ -27,7 +29,7 @@
 
 
 class _Follower(PeerHandler):
-    """One follower."""
+    """Follows the bundles like a side process, without an engine."""
 
     def __init__(self, settings: NodeSettings) -> None:
         self.settings = settings
@@ -67,7 +69,7 @@
 
 
 def main() -> None:
-    """Runs until standard input ends."""
+    """Runs the followers until standard input ends."""
     commands = FileObject(sys.stdin.buffer, "rb")
     followers = []
     for table in orjson.loads(commands.readline()):
--- a/standins/instances.py
+++ b/standins/instances.py
@@ -1,4 +1,4 @@
-"""A stand-in instance list: live and leaving instances, with a lag."""
+"""Stand-in for the platform's instance list, which shows changes late."""
 
 from gevent import monkey
 
@@ -14,10 +14,10 @@
 
 
 class InstanceList:
-    """The list; a change shows only after the lag.
+    """Instance list in which a change becomes visible after a delay.
 
     Args:
-        lag_ms: How long a change takes to show.
+        lag_ms: Delay until a change becomes visible.
     """
 
     def __init__(self, lag_ms: float) -> None:
@@ -27,15 +27,18 @@
         self._visible: dict[str, dict[str, Any]] = {}
 
     def change(self, name: str, record: dict[str, Any] | None) -> None:
-        """Lists an instance, changes it, or takes it off with None.
+        """Adds, updates or removes an instance.
 
-        A change may hold just the fields that differ.
+        Args:
+            name: Name of the instance.
+            record: Fields to set, all or only those that differ; None removes
+                the instance.
         """
         due = time.monotonic() + self.lag_ms / 1000
         self._changes.append((due, name, record))
 
     def visible(self) -> list[dict[str, Any]]:
-        """Returns what the list shows now."""
+        """Returns the records that are visible now."""
         now = time.monotonic()
         due = [c for c in self._changes if c[0] <= now]
         self._changes = [c for c in self._changes if c[0] > now]
--- a/standins/links.py
+++ b/standins/links.py
@@ -1,8 +1,8 @@
-"""Starts a program of caroblug over emulated links between data centres.
+"""Runs a caroblug program over emulated links between data centres.
 
-What a process sends to a peer in another data centre is held back by a
-latency and paced to a number of bytes a second; inside a data centre nothing
-changes. Each end holds back its own direction.
+Data that a process sends to a peer in another data centre is delayed by a
+latency and limited to a rate in bytes per second. Links inside a data centre
+are unchanged. Each process delays only the direction in which it sends.
 """
 
 from gevent import monkey
@@ -25,12 +25,12 @@
 
 
 class DelayedSocket:
-    """A socket whose sends arrive later; everything else is the socket's.
+    """Wraps a socket and delays the data that it sends.
 
     Args:
-        sock: The socket.
-        latency_ms: How much later.
-        bytes_per_s: How fast at most; 0 for no bound.
+        sock: The wrapped socket.
+        latency_ms: Delay of each send.
+        bytes_per_s: Maximum rate; 0 for no limit.
     """
 
     def __init__(
@@ -47,7 +47,7 @@
         return getattr(self._sock, name)
 
     def sendall(self, data: bytes) -> None:
-        """Takes bytes on their way."""
+        """Queues bytes for a delayed send."""
         now = time.monotonic()
         self._link_free_at_s = max(now, self._link_free_at_s)
         if self._bytes_per_s:
@@ -65,11 +65,11 @@
 
 
 class DelayedNetwork(PeerNetwork):
-    """A network whose links to other data centres are slow.
+    """Peer network with delayed links to other data centres.
 
     Attributes:
-        table: (latency in ms, bytes a second) by data centre; a link has the
-            slower values of its two ends.
+        table: (latency in ms, bytes per second) by data centre; a link has
+            the slower values of its two ends.
     """
 
     table: dict[str, tuple[float, float]] = {}
--- a/standins/log.py
+++ b/standins/log.py
@@ -1,4 +1,4 @@
-"""A stand-in log service: append, read from an offset, fail on order."""
+"""Stand-in for the log service, with faults that tests switch on."""
 
 from gevent import monkey
 
@@ -21,7 +21,13 @@
 
 @attrs.define
 class _Stream:
-    """One stream; `start` is the offset of the oldest record kept."""
+    """Records of one stream.
+
+    Attributes:
+        start: Offset of the oldest retained record.
+        records: Retained records with the time of their append.
+        changed: Set when a record is appended.
+    """
 
     start: int = 0
     records: collections.deque = attrs.field(factory=collections.deque)
@@ -33,11 +39,13 @@
 
 
 class Log:
-    """The service's state.
+    """State of the log service.
+
+    Tests set its public attributes through the control resource.
 
     Args:
-        retention_s: How long records are kept.
-        appends_per_s: Appends taken in a second.
+        retention_s: How long records are retained.
+        appends_per_s: Maximum number of appends per second.
     """
 
     def __init__(self, retention_s: float, appends_per_s: int) -> None:
@@ -55,7 +63,7 @@
         self._appends_in_second = 0
 
     def stream(self, name: str) -> _Stream:
-        """Returns a stream without its expired records."""
+        """Removes a stream's expired records and returns the stream."""
         stream = self._streams.setdefault(name, _Stream())
         oldest = time.monotonic() - self.retention_s
         while stream.records and stream.records[0][0] < oldest:
@@ -64,7 +72,15 @@
         return stream
 
     def append(self, name: str, data: str) -> int | None:
-        """Appends a record; None if the rate limit is reached."""
+        """Appends a record to a stream.
+
+        Args:
+            name: Name of the stream.
+            data: The record.
+
+        Returns:
+            The offset of the record; None if the rate limit is reached.
+        """
         second = int(time.monotonic())
         if second != self._second:
             self._second, self._appends_in_second = second, 0
@@ -81,7 +97,17 @@
     def read(
         self, name: str, offset: int, limit: int, wait_ms: int
     ) -> dict[str, Any]:
-        """Reads records, waiting for a first one."""
+        """Reads records and waits for the first one if there is none yet.
+
+        Args:
+            name: Name of the stream.
+            offset: Offset of the first record to read.
+            limit: Maximum number of records.
+            wait_ms: How long to wait for a record.
+
+        Returns:
+            The body of the response.
+        """
         self.reads += 1
         stream = self.stream(name)
         if offset >= stream.end and wait_ms:
@@ -144,10 +170,11 @@
 
 
 class _ControlResource:
-    """Orders from tests.
+    """Sets attributes of the log for tests and returns its counters.
 
-    Keys: `down`, `silent`, `lose_answers`, `delay_ms` (before an append takes
-    effect), `answer_delay_ms` (after it), `retention_s`, `appends_per_s`.
+    Keys: `down`, `silent`, `lose_answers`, `delay_ms` (delay before an append
+    takes effect), `answer_delay_ms` (delay of the response after it),
+    `retention_s`, `appends_per_s`.
     """
 
     def __init__(self, log: Log) -> None:
--- a/standins/operator.py
+++ b/standins/operator.py
@@ -1,8 +1,9 @@
-"""An operator who publishes round after round, as one process.
+"""Publishes bundles repeatedly from one process, as an operator would.
 
-Reads orders from standard input, one a line: `sign VALUE` makes a record on
-the log's head, `publish` appends it. After each it prints the exit code of
-`caroblug-bundle` and, after a tab, what that printed, on one line.
+Reads commands from standard input, one per line: `sign VALUE` signs a bundle
+with that `max_tokens` on top of the log's head, `publish` appends it. After
+each command it prints one line: the exit code of `caroblug-bundle`, a tab and
+the output.
 """
 
 from gevent import monkey
@@ -27,7 +28,7 @@
 
 
 def main() -> None:
-    """Takes a folder, a key and the options for the log."""
+    """Runs the commands; arguments: folder, key file and log options."""
     folder, key, *options = sys.argv[1:]
     bundle = pathlib.Path(folder, f"{pathlib.Path(key).stem}.toml")
     record = bundle.with_suffix(".record")
--- a/standins/plain.py
+++ b/standins/plain.py
@@ -1,4 +1,4 @@
-"""A stand-in plain service that counts how often each key has run."""
+"""Stand-in for a plain HTTP service; counts the runs of each key."""
 
 from gevent import monkey
 
@@ -14,10 +14,10 @@
 
 
 class PlainService:
-    """Answers any call.
+    """Service that accepts any call.
 
     Args:
-        delay_ms: How long each call takes.
+        delay_ms: Duration of each call.
     """
 
     def __init__(self, delay_ms: float) -> None:
@@ -28,7 +28,7 @@
     def __call__(
         self, request: falcon.Request, response: falcon.Response, **parts
     ) -> None:
-        """Runs a call: counts it first, then takes its time."""
+        """Counts a call, waits for the delay and responds."""
         del parts
         key = request.get_header("Idempotency-Key") or ""
         body = request.bounded_stream.read().decode()
@@ -47,7 +47,7 @@
 
 
 class _ControlResource:
-    """Counts of runs; orders from tests: `delay_ms`, `padding`."""
+    """Returns the runs by key; tests set `delay_ms` and `padding`."""
 
     def __init__(self, service: PlainService) -> None:
         self._service = service
--- a/standins/reference.py
+++ b/standins/reference.py
@@ -1,9 +1,8 @@
-"""The arithmetic of stand-in models, and the answers it leads to.
+"""Deterministic arithmetic of the stand-in models.
 
-A layer's output for a position is a hash chained over the layer, the
-position, its input and its own output for the position before. A layer that
-is skipped, run twice or crossed with another stream changes every later
-token.
+A layer's output for a position is a hash over the layer, the position, its
+input and its own output for the previous position. If a layer is skipped,
+run twice or fed with the state of another stream, every later token differs.
 """
 
 import hashlib
@@ -25,7 +24,14 @@
 def run_layer(
     layer: int, position: int, state: bytes, cache: bytes = _EMPTY_CACHE
 ) -> bytes:
-    """Returns a layer's output, which is also its new cache."""
+    """Returns a layer's output, which is also its new cache.
+
+    Args:
+        layer: Number of the layer.
+        position: Position in the stream.
+        state: Input of the layer.
+        cache: Output of the layer for the previous position.
+    """
     return hashlib.blake2b(
         _LAYER_HEADER.pack(layer, position) + state + cache,
         digest_size=STATE_BYTES,
@@ -33,7 +39,14 @@
 
 
 def sample(state: bytes, position: int, seed: int, vocabulary: int) -> int:
-    """Returns the token after `position`."""
+    """Returns the token that follows a position.
+
+    Args:
+        state: Output of the last layer.
+        position: Position in the stream.
+        seed: Seed of the sampling.
+        vocabulary: Size of the vocabulary.
+    """
     digest = hashlib.blake2b(
         _SAMPLE_HEADER.pack(position, seed) + state, digest_size=8
     ).digest()
@@ -43,7 +56,15 @@
 def expected_tokens(
     prompt: list[int], count: int, layers: int, vocabulary: int, seed: int
 ) -> list[int]:
-    """Returns the tokens that a right answer holds."""
+    """Returns the tokens that a correct completion contains.
+
+    Args:
+        prompt: Tokens of the prompt.
+        count: Number of tokens to generate.
+        layers: Number of layers of the model.
+        vocabulary: Size of the vocabulary.
+        seed: Seed of the sampling.
+    """
     caches = [_EMPTY_CACHE] * layers
     tokens = list(prompt)
     generated: list[int] = []
--- a/standins/relay.py
+++ b/standins/relay.py
@@ -1,7 +1,8 @@
-"""A stand-in for what lies between two processes: a TCP relay.
+"""TCP relay that emulates network faults between two processes.
 
-It reads the name of the process that dials from its hello, and can then cut,
-reset or silence what that process has open, or delay everything.
+The relay reads the name of the connecting process from its hello message. It
+can refuse, reset or silence the connections of that process, and delay all
+traffic.
 """
 
 from gevent import monkey
@@ -28,7 +29,15 @@
 
 @attrs.define(eq=False)
 class _RelayedConnection:
-    """A connection on both sides of the relay."""
+    """A client's connection and the matching connection to the target.
+
+    Attributes:
+        name: Instance name of the client.
+        client_sock: Socket to the client.
+        target_sock: Socket to the target.
+        silent: Whether the relay forwards no more data on this connection,
+            which stays open.
+    """
 
     name: str
     client_sock: socket.socket
@@ -36,13 +45,13 @@
     silent: bool = False
 
     def reset(self) -> None:
-        """Resets both ends."""
+        """Resets both sockets."""
         for sock in (self.client_sock, self.target_sock):
             _reset(sock)
 
 
 class Relay:
-    """Passes bytes between those who dial and one target.
+    """Forwards bytes between clients and one target.
 
     Args:
         target: Port of the target on loopback.
@@ -55,15 +64,20 @@
         self._connections: list[_RelayedConnection] = []
 
     def client_names(self) -> list[str]:
-        """Returns who has a connection open."""
+        """Returns the names of the clients with an open connection."""
         return sorted({connection.name for connection in self._connections})
 
     def matching_connections(self, name: str) -> list[_RelayedConnection]:
-        """Returns the connections of one process or of all."""
+        """Returns the connections of one client, or all for `*`."""
         return [p for p in self._connections if name in (_ALL, p.name)]
 
     def accept(self, client_sock: socket.socket, address: Any) -> None:
-        """Serves one connection."""
+        """Serves one connection until both directions have ended.
+
+        Args:
+            client_sock: Socket to the client.
+            address: Address of the client; ignored.
+        """
         del address
         received = framing.read_payload(client_sock)
         if received is None:
@@ -118,9 +132,10 @@
 
 
 class _ControlResource:
-    """Orders from tests: `cut`, `heal`, `reset`, `silence`, `delay_ms`.
+    """Sets faults for tests: `cut`, `heal`, `reset`, `silence`, `delay_ms`.
 
-    All but the last take the name of a process that dials, or `*`.
+    `cut` resets the connections of a client and refuses new ones until
+    `heal`. All keys but `delay_ms` take the name of a client, or `*`.
     """
 
     def __init__(self, relay: Relay) -> None:
--- a/standins/site.py
+++ b/standins/site.py
@@ -1,7 +1,7 @@
-"""A small site of real processes, for the demo, tests and benchmarks.
+"""Local deployment of real processes for the demo, tests and benchmarks.
 
-Each program and stand-in is a process of its own, started here and never by
-a program of caroblug. All of them end with the site.
+Each caroblug program and each stand-in runs in its own process, which the
+site starts and ends. Programs of caroblug start no processes.
 """
 
 import contextlib
@@ -36,7 +36,16 @@
 
 @attrs.frozen(kw_only=True)
 class EngineSpec:
-    """A stand-in engine with its side process."""
+    """Configuration of a stand-in engine and its side process.
+
+    Attributes:
+        name: Name of the engine.
+        data_centre: Data centre of both processes.
+        first_layer: First layer that the engine holds.
+        end_layer: One past the last layer.
+        options: Further command-line options of the engine.
+        side: Further settings of the side process.
+    """
 
     name: str
     data_centre: str
@@ -48,7 +57,15 @@
 
 @attrs.frozen(kw_only=True)
 class PlainSpec:
-    """A stand-in plain service with its side process."""
+    """Configuration of a stand-in plain service and its side process.
+
+    Attributes:
+        name: Name of the process.
+        data_centre: Data centre of both processes.
+        service: Name of the service.
+        options: Further command-line options of the service.
+        side: Further settings of the side process.
+    """
 
     name: str
     data_centre: str
@@ -59,7 +76,13 @@
 
 @attrs.frozen(kw_only=True)
 class EntrySpec:
-    """An entry instance."""
+    """Configuration of an entry.
+
+    Attributes:
+        name: Name of the instance.
+        data_centre: Data centre of the entry.
+        settings: Further settings.
+    """
 
     name: str
     data_centre: str
@@ -68,7 +91,17 @@
 
 @attrs.define
 class RunningProcess:
-    """A process of the site."""
+    """A process of the site.
+
+    Attributes:
+        name: Name of the process.
+        role: `entry`, `side` or the module name of the stand-in.
+        popen: Handle of the running or ended process.
+        http_port: Port of its HTTP server.
+        peer_port: Port at which peers reach it; 0 for a stand-in.
+        data_centre: Its data centre; empty for a stand-in.
+        command: Command line, used for a restart.
+    """
 
     name: str
     role: str
@@ -89,7 +122,7 @@
 
 
 def make_default_bundle() -> dict[str, Any]:
-    """Returns a bundle of one model, one service and no accounts."""
+    """Returns a bundle with one model, one service and no accounts."""
     return {
         "models": {MODEL: {"layers": 24, "vocabulary": 512}},
         "services": {"booking": {}},
@@ -99,10 +132,10 @@
 
 
 class Site:
-    """Processes on loopback, with everything they need to find each other.
+    """Processes on loopback with their settings, keys and ports.
 
     Args:
-        folder: Where settings, keys and logs are written.
+        folder: Directory of settings, keys and logs.
     """
 
     def __init__(self, folder: pathlib.Path) -> None:
@@ -122,7 +155,13 @@
         list_options: Sequence[str] = (),
         operators: int = 1,
     ) -> None:
-        """Starts the log service and the instance list."""
+        """Starts the log service and the instance list, and makes keys.
+
+        Args:
+            log_options: Command-line options of the log service.
+            list_options: Command-line options of the instance list.
+            operators: Number of operator keys.
+        """
         self.log_port = self.ports.take()
         self.instance_list_port = self.ports.take()
         self._start_stand_in("log", "log", self.log_port, log_options)
@@ -137,7 +176,7 @@
             self.operator_keys.append(response.stdout.strip())
 
     def add_account(self, name: str, **rule: Any) -> str:
-        """Adds a client account to the next bundle and returns its key."""
+        """Adds a client account to the next bundle and returns its API key."""
         key = make_key(name)
         self.keys[name] = key
         self.bundle["client_accounts"][name] = {
@@ -147,7 +186,7 @@
         return key
 
     def start_engine(self, spec: EngineSpec) -> None:
-        """Starts an engine and its side process, and lists it."""
+        """Starts an engine and its side process, and lists the side process."""
         port = self.ports.take()
         model = self.bundle["models"][MODEL]
         options = (
@@ -170,7 +209,7 @@
         return {"host": HOST, "port": port}
 
     def start_plain(self, spec: PlainSpec) -> None:
-        """Starts a plain service and its side process, and lists it."""
+        """Starts a plain service and its side process, and lists the latter."""
         port = self.ports.take()
         self._start_stand_in(f"plain-{spec.name}", "plain", port, spec.options)
         self.wait_http(port, "/control")
@@ -182,13 +221,13 @@
     def start_side(
         self, name: str, data_centre: str, settings: dict[str, Any]
     ) -> RunningProcess:
-        """Starts a side process and lists it."""
+        """Starts a side process and adds it to the instance list."""
         return self._start_program(
             "side", f"side-{name}", data_centre, settings
         )
 
     def start_entry(self, spec: EntrySpec) -> RunningProcess:
-        """Starts an entry instance and lists it."""
+        """Starts an entry and adds it to the instance list."""
         return self._start_program(
             "entry", spec.name, spec.data_centre, spec.settings
         )
@@ -196,7 +235,12 @@
     def run_bundle_command(
         self, *arguments: str, check: bool = True
     ) -> subprocess.CompletedProcess[str]:
-        """Runs `caroblug-bundle`."""
+        """Runs `caroblug-bundle`.
+
+        Args:
+            *arguments: Command-line arguments.
+            check: Whether a non-zero exit code raises.
+        """
         return subprocess.run(
             [sys.executable, "-m", "caroblug.cli.bundle", *arguments],
             capture_output=True,
@@ -205,14 +249,14 @@
         )
 
     def log_options(self) -> list[str]:
-        """Returns the options by which `caroblug-bundle` reads the log."""
+        """Returns the log and operator options of `caroblug-bundle`."""
         options = ["--log", f"{HOST}:{self.log_port}"]
         for key in self.operator_keys:
             options += ["--operator", key]
         return options
 
     def publish(self) -> None:
-        """Signs the bundle with the first operator's key and publishes."""
+        """Signs the bundle with the first operator's key and publishes it."""
         self._publish_count += 1
         path = self.folder / f"bundle-{self._publish_count}.toml"
         record = self.folder / f"bundle-{self._publish_count}.record"
@@ -230,7 +274,7 @@
         self.run_bundle_command("publish", str(record), *self.log_options())
 
     def list_instance(self, name: str, state: str = "live") -> None:
-        """Shows an instance on the platform's list as `state`."""
+        """Adds an instance to the platform's list or updates its state."""
         process = self.processes[name]
         record = {
             "instance": name,
@@ -244,17 +288,17 @@
         self.http(self.instance_list_port, "POST", "/instances", record)
 
     def unlist_instance(self, process: RunningProcess) -> None:
-        """Takes an instance off the platform's list."""
+        """Removes an instance from the platform's list."""
         record = {"instance": process.name, "state": "gone"}
         self.http(self.instance_list_port, "POST", "/instances", record)
 
     def control(self, name: str, orders: dict[str, Any]) -> None:
-        """Gives orders to a stand-in."""
+        """Sends control commands to a stand-in."""
         port = self.processes[name].http_port
         self.http(port, "POST", "/control", orders)
 
     def read_counters(self, name: str) -> Any:
-        """Returns what a stand-in has counted."""
+        """Returns the counters of a stand-in."""
         port = self.processes[name].http_port
         return self.http(port, "GET", "/control").json()
 
@@ -266,7 +310,14 @@
         body: Any = None,
         headers: dict[str, str] | None = None,
     ) -> HttpResponse:
-        """Makes one call; raises if there is no answer."""
+        """Sends one request to a local port.
+
+        Returns:
+            The response.
+
+        Raises:
+            ConnectionError: If there is no response.
+        """
         client = JsonHttpClient(HOST, port, _CALL_MS, connections=1)
         try:
             response = client.request(method, path, body, headers)
@@ -285,7 +336,7 @@
         body: Any = None,
         headers: dict[str, str] | None = None,
     ) -> HttpResponse:
-        """Makes a caller's request to an entry."""
+        """Sends a request to an entry with the key of a client account."""
         sent_headers = {"Authorization": f"Bearer {self.keys[account]}"}
         sent_headers.update(headers or {})
         port = self.processes[entry].http_port
@@ -294,7 +345,7 @@
     def stream(
         self, entry: str, account: str, body: dict[str, Any]
     ) -> Iterator[dict[str, Any]]:
-        """Yields the chunks of a streamed chat completion, parsed."""
+        """Yields the decoded chunks of a streamed chat completion."""
         port = self.processes[entry].http_port
         client = geventhttpclient.HTTPClient(
             HOST, port, network_timeout=_CALL_MS / 1000
@@ -315,7 +366,7 @@
             client.close()
 
     def metric(self, name: str, metric: str) -> float:
-        """Returns the sum of a metric's samples at a program."""
+        """Returns the sum of a metric's samples in one program."""
         port = self.processes[name].http_port
         text = self.http(port, "GET", "/metrics").body.decode()
         total = 0.0
@@ -326,15 +377,15 @@
         return total
 
     def wait_http(self, port: int, path: str) -> None:
-        """Waits until a server answers 200."""
+        """Waits until a server responds with status 200."""
         self.wait_for(lambda: self._is_ok(port, path), f"port {port}{path}")
 
     def is_ready(self, name: str) -> bool:
-        """Tells whether a program says that it is ready."""
+        """Returns whether a program reports that it is ready."""
         return self._is_ok(self.processes[name].http_port, "/readyz")
 
     def wait_ready(self) -> None:
-        """Waits until every program is ready and every chain is known."""
+        """Waits until programs are ready and entries know every side."""
         for process in self.processes.values():
             if process.role in ("entry", "side"):
                 self.wait_http(process.http_port, "/readyz")
@@ -350,22 +401,30 @@
                 )
 
     def wait_for(self, condition: Any, what: str) -> None:
-        """Polls until a condition holds; raises when it takes too long."""
+        """Polls until a condition holds.
+
+        Args:
+            condition: Function that returns whether the condition holds.
+            what: Name of the condition in the error message.
+
+        Raises:
+            TimeoutError: If the condition does not hold in time.
+        """
         end = time.monotonic() + _READY_TIMEOUT_S
         while not condition():
             if time.monotonic() > end:
-                raise TimeoutError(f"gave up waiting for {what}")
+                raise TimeoutError(f"timed out waiting for {what}")
             gevent.sleep(_POLL_S)
 
     def stop(self, name: str) -> int:
-        """Stops a process by SIGTERM and returns its exit code."""
+        """Sends SIGTERM to a process and returns its exit code."""
         process = self.processes[name]
         process.signal(signal.SIGTERM)
         self.wait_for(lambda: process.popen.poll() is not None, f"{name}")
         return process.popen.returncode
 
     def close(self) -> None:
-        """Ends every process."""
+        """Ends every process; kills those that do not end in time."""
         running = [p for p in self.processes.values() if p.popen.poll() is None]
         for process in running:
             process.signal(signal.SIGCONT)
@@ -436,7 +495,7 @@
         return process
 
     def _start_relay(self, name: str, target: int) -> int:
-        """Puts a relay before a program; returns the port to reach it by."""
+        """Starts a relay in front of a program; returns the relay's port."""
         port, listen = self.ports.take(), self.ports.take()
         options = (f"--listen={listen}", f"--target={target}")
         self._start_stand_in(f"relay-{name}", "relay", port, options)
@@ -444,7 +503,7 @@
         return listen
 
     def restart(self, name: str) -> None:
-        """Starts a process that has ended again, as it was."""
+        """Restarts an ended process with the same command line."""
         process = self.processes[name]
         self._spawn(process, list(process.command))
 
@@ -475,7 +534,7 @@
 
 @contextlib.contextmanager
 def make_site() -> Iterator[Site]:
-    """Yields an empty site whose processes end with the block."""
+    """Yields an empty site and ends its processes on exit."""
     with tempfile.TemporaryDirectory(prefix="caroblug-") as folder:
         site = Site(pathlib.Path(folder))
         try:
@@ -485,7 +544,7 @@
 
 
 def make_three_stages(**options: Any) -> list[EngineSpec]:
-    """Returns engines of three stages, each twice, in two data centres."""
+    """Returns engines of three stages in each of two data centres."""
     bounds = ((0, 8), (8, 16), (16, 24))
     return [
         EngineSpec(
--- a/standins/supervisor.py
+++ b/standins/supervisor.py
@@ -1,4 +1,4 @@
-"""The platform's part after a crash: starts backend servers again."""
+"""Restarts crashed backend servers, as the platform does."""
 
 import gevent
 
@@ -9,11 +9,14 @@
 
 
 class Supervisor:
-    """Restarts engines and plain services that have ended, and counts them.
+    """Restarts engines and plain services that have ended.
 
     Args:
         site: The running site.
-        pause_s: Time until a server that has ended is started again.
+        restart_delay_s: Time between the end of a server and its restart.
+
+    Attributes:
+        crashes: Number of servers that have ended.
     """
 
     def __init__(self, site: Site, restart_delay_s: float = 0.3) -> None:
@@ -23,7 +26,7 @@
         self._greenlet = gevent.spawn(self._run)
 
     def stop(self) -> None:
-        """Restarts nothing any more."""
+        """Stops restarting servers."""
         self._greenlet.kill()
 
     def _run(self) -> None:
--- a/standins/weights.py
+++ b/standins/weights.py
@@ -1,4 +1,4 @@
-"""A stand-in weight store: gives leave to load, so many in a while."""
+"""Stand-in for the weight store, which limits the rate of loads."""
 
 from gevent import monkey
 
@@ -13,11 +13,17 @@
 
 
 class WeightStore:
-    """The store's state.
+    """State of the weight store.
 
     Args:
-        loads: Loads in each period.
+        loads: Number of loads that are granted in each period.
         period_s: Length of a period.
+
+    Attributes:
+        given: Number of granted loads.
+        refused: Number of refused requests.
+        early: Number of requests sent before the end of the `Retry-After`
+            that the client had received.
     """
 
     def __init__(self, loads: int, period_s: float) -> None:
@@ -30,7 +36,15 @@
         self._retry_at_s: dict[str, float] = {}
 
     def reserve(self, client: str) -> float:
-        """Gives leave and returns 0, or returns the seconds to wait."""
+        """Grants or refuses a load.
+
+        Args:
+            client: Address of the client.
+
+        Returns:
+            0 if the load is granted, else the seconds until a retry may
+            succeed.
+        """
         now = time.monotonic()
         self.early += now < self._retry_at_s.pop(client, now)
         self._granted_at_s = [
