--- a/standins/soak/__init__.py
+++ b/standins/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A long randomised run over real processes, checked from outside."""
+"""Randomised soak test over real processes, checked from outside."""
--- a/standins/soak/__main__.py
+++ b/standins/soak/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m standins.soak`: one soak with a seed, one JSON line at the end."""
+"""Runs one seeded soak test and prints its result as one JSON line."""
 
 from gevent import monkey
 
@@ -172,7 +172,10 @@
 
 
 def _stream_gaps_ms(record: SoakRecord) -> list[float]:
-    """Returns, by fault, the longest wait of a stream that met it."""
+    """Returns the longest gap between chunks during each fault, in order.
+
+    Only faults that interrupt streams count.
+    """
     gaps = []
     for fault in record.faults:
         if fault.kind not in _STREAM_FAULTS:
@@ -191,7 +194,7 @@
 
 
 def _goodput(record: SoakRecord, spans: list[FaultSpan], end_s: float) -> float:
-    """Returns tokens per second while a fault lasted."""
+    """Returns the tokens per second during the seconds of some spans."""
     busy = [False] * (int(end_s) + 1)
     for span in spans:
         for second in range(int(span.start_s), int(span.end_s) + 1):
@@ -254,7 +257,7 @@
 
 
 def main() -> int:
-    """Runs one soak; exit code 1 on a violation."""
+    """Runs one soak test; returns exit code 1 on a violation."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--seconds", type=float, default=60)
--- a/standins/soak/_callers.py
+++ b/standins/soak/_callers.py
@@ -1,4 +1,4 @@
-"""Callers: each makes requests, one after the other, and checks answers."""
+"""Clients of a soak test, which send requests and check the responses."""
 
 import random
 import time
@@ -26,13 +26,13 @@
 
 
 class Callers:
-    """The callers of one soak.
+    """Clients of one soak test.
 
     Args:
-        site: The site.
-        record: Where answers and violations are noted.
+        site: The running site.
+        record: Record of responses and violations.
         entries: Names of the entries.
-        killed: When each entry was last killed, in seconds of the soak.
+        killed: Time of the last kill by entry, in seconds of the soak test.
     """
 
     def __init__(
@@ -50,7 +50,13 @@
         self._key_number = 0
 
     def run(self, account: str, rng: random.Random, pause_s: float) -> None:
-        """Makes requests until told to stop."""
+        """Sends requests in a closed loop until `stopping` is set.
+
+        Args:
+            account: The client account.
+            rng: Random source of the requests.
+            pause_s: Mean pause between two requests.
+        """
         while not self.stopping:
             drawn = rng.random()
             if drawn < _STREAM_SHARE:
@@ -110,7 +116,14 @@
         entry: str,
         expected: str | None,
     ) -> str:
-        """Makes one streamed request and returns its outcome."""
+        """Sends one streamed request and returns its outcome.
+
+        Args:
+            account: The client account.
+            body: Body of the request.
+            entry: Name of the entry.
+            expected: Text of a correct completion; None if it is not checked.
+        """
         since_s = self._record.now_s()
         seen = StreamRecord()
         self._record.streams.append(seen)
@@ -196,10 +209,11 @@
         return f"{error['type']}.{error['ran']}"
 
     def _was_killed(self, entry: str, since_s: float) -> bool:
-        """Tells whether the entry was down at some time since.
+        """Returns whether the entry was killed at or after a time.
 
         A request may begin just before the kill takes effect and end before
-        its time is noted, so that the end of the process counts as well.
+        the time of the kill is recorded. An ended process therefore counts
+        as killed.
         """
         ended = self._site.processes[entry].popen.poll() is not None
         return ended or self._killed.get(entry, -1.0) >= since_s
@@ -210,7 +224,7 @@
         self._record.outcomes[f"lookup.{status or 'broken'}.{ran}"] += 1
 
     def _book(self, account: str, rng: random.Random) -> None:
-        """Books, and sometimes sends the same key again elsewhere."""
+        """Books and sometimes resends the same key, to a random entry."""
         self._key_number += 1
         key = f"key-{self._key_number}"
         calls = self._record.calls.setdefault(key, CallRecord())
@@ -240,7 +254,12 @@
         key: str,
         headers: dict[str, str],
     ) -> tuple[int, str]:
-        """Returns the status and whether the call is known to have run."""
+        """Sends a plain call.
+
+        Returns:
+            The status, 0 if the connection failed, and whether the call ran:
+            `yes`, `no` or `unknown`.
+        """
         since = time.monotonic()
         try:
             answer = self._site.call(
--- a/standins/soak/_checks.py
+++ b/standins/soak/_checks.py
@@ -1,4 +1,4 @@
-"""Checks from outside, while a soak runs and at its end."""
+"""Invariants that are checked during a soak test and at its end."""
 
 import collections
 
@@ -13,11 +13,11 @@
 
 
 class ProcessMonitor:
-    """Watches the processes while a soak runs.
+    """Checks the processes periodically during a soak test.
 
     Args:
-        site: The site.
-        record: Where violations are noted.
+        site: The running site.
+        record: Record of violations.
         stopped: Names of processes that were stopped on purpose.
     """
 
@@ -31,7 +31,7 @@
         self._reported_dead: set[tuple[str, int]] = set()
 
     def run(self) -> None:
-        """Looks at every process, for ever."""
+        """Checks every program once per period, forever."""
         while True:
             for process in list(self._site.processes.values()):
                 if process.role in _PROGRAM_ROLES:
@@ -52,7 +52,7 @@
         self._check_bundle_version(process)
 
     def _check_bundle_version(self, process: RunningProcess) -> None:
-        """A bundle's version falls only to "none" by a restart."""
+        """Checks that the bundle version does not fall without a restart."""
         try:
             with gevent.Timeout(_POLL_S):
                 version = self._site.metric(process.name, _VERSION_METRIC)
@@ -72,7 +72,12 @@
 
 
 def check_calls(site: Site, record: SoakRecord) -> None:
-    """Compares what callers were told with what the services counted."""
+    """Compares the responses to callers with the runs that services counted.
+
+    Args:
+        site: The running site.
+        record: Record of the calls by key; receives the violations.
+    """
     runs: collections.Counter[str] = collections.Counter()
     for process in site.processes.values():
         if process.role == "plain":
@@ -88,13 +93,13 @@
 
 
 def check_engines(site: Site, record: SoakRecord) -> None:
-    """No engine may have run a position of one session out of turn."""
+    """Checks that no engine ran a position of a session out of order."""
     for process in site.processes.values():
         if process.role == "engine":
             repeated = site.read_counters(process.name)["repeated"]
             if repeated:
                 record.add_violation(
-                    "layer ran out of turn",
+                    "layer ran a position out of order",
                     name=process.name,
                     repeated=repeated,
                 )
--- a/standins/soak/_faults.py
+++ b/standins/soak/_faults.py
@@ -1,4 +1,4 @@
-"""Seeded faults: each is brought about, lasts a while, and is mended."""
+"""Fault injection for a soak test, driven by a seed."""
 
 import abc
 import random
@@ -19,14 +19,14 @@
 
 
 class FaultContext:
-    """What faults share.
+    """State that all faults share.
 
     Args:
-        site: The site.
-        record: Where faults and violations are noted.
-        rng: Chooses victims and durations.
+        site: The running site.
+        record: Record of faults and violations.
+        rng: Random source of target processes and durations.
         stopped: Names of processes that were stopped on purpose.
-        killed: When each entry was last killed.
+        killed: Time of the last kill by process, in seconds of the soak test.
     """
 
     def __init__(
@@ -47,7 +47,15 @@
     def acquire_process(
         self, role: str, prefix: str = ""
     ) -> RunningProcess | None:
-        """Takes a running process that no other fault holds."""
+        """Chooses a running process that no other fault uses.
+
+        Args:
+            role: Role of the process.
+            prefix: Prefix of its name.
+
+        Returns:
+            The process, or None if there is none.
+        """
         names = sorted(
             p.name
             for p in self.site.processes.values()
@@ -63,22 +71,33 @@
         return self.site.processes[name]
 
     def release_process(self, process: RunningProcess) -> None:
-        """Lets other faults have the process."""
+        """Makes a process available to other faults again."""
         self._acquired.discard(process.name)
 
 
 class Fault(abc.ABC):
-    """One kind of fault."""
+    """One kind of fault.
+
+    Attributes:
+        kind: Name of the kind in the trace and the result.
+    """
 
     kind = ""
 
     @abc.abstractmethod
     def run(self, context: FaultContext) -> bool:
-        """Brings it about, waits, mends it; False if nothing was there."""
+        """Injects the fault, waits and repairs it.
+
+        Args:
+            context: State that all faults share.
+
+        Returns:
+            Whether the fault was injected; False if no target was available.
+        """
 
 
 class _ProcessFault(Fault):
-    """A fault of one process of a role."""
+    """A fault of one random process of a role."""
 
     role = "side"
     prefix = ""
@@ -99,11 +118,11 @@
 
     @abc.abstractmethod
     def inject(self, context: FaultContext, process: RunningProcess) -> None:
-        """Harms the process and mends it."""
+        """Injects the fault into a process and repairs it."""
 
 
 class Kill(_ProcessFault):
-    """Kills a process and starts it again a little later."""
+    """Kills a process and restarts it after a random delay."""
 
     def __init__(self, role: str, prefix: str = "") -> None:
         self.kind = f"kill_{role}"
@@ -125,7 +144,7 @@
 
 
 class Freeze(_ProcessFault):
-    """Stops a process without ending it, and wakes it."""
+    """Suspends a process with SIGSTOP and resumes it."""
 
     def __init__(self, role: str, prefix: str = "") -> None:
         self.kind = f"freeze_{role}"
@@ -139,7 +158,7 @@
 
 
 class HangEngine(_ProcessFault):
-    """An engine that takes calls and answers none."""
+    """Makes an engine accept requests without responding."""
 
     kind = "hang_engine"
     role = "engine"
@@ -151,7 +170,7 @@
 
 
 class Restart(_ProcessFault):
-    """An orderly restart: SIGTERM, drain, exit 0, start again."""
+    """Restarts a process in order: SIGTERM, drain, exit code 0, start."""
 
     def __init__(self, role: str) -> None:
         self.kind = f"restart_{role}"
@@ -186,7 +205,7 @@
         later = _read_opened_streams(context, process)
         if opened is not None and later is not None and later > opened:
             context.record.add_violation(
-                "new work on a leaver", name=process.name
+                "new work on a draining process", name=process.name
             )
 
 
@@ -202,7 +221,7 @@
 
 
 class PlatformFault(Fault):
-    """A spell of trouble at a stand-in of the platform."""
+    """Injects a temporary fault into a stand-in of the platform."""
 
     def __init__(
         self,
@@ -226,7 +245,7 @@
 
 
 class RacingOperators(Fault):
-    """Two operators publish at once; the versions only rise."""
+    """Publishes bundles from two operators at the same time."""
 
     kind = "racing_operators"
 
@@ -249,7 +268,7 @@
 
 
 class PoisonFault(Fault):
-    """A request that crashes each engine that embeds its first word."""
+    """Sends a request that crashes each engine that embeds its first word."""
 
     kind = "poison"
 
@@ -288,12 +307,12 @@
 
 
 class FaultInjector:
-    """Brings about faults, singly and two at once, until told to stop.
+    """Injects random faults, one or two at a time, until `stopping` is set.
 
     Args:
-        bench: What faults share.
+        context: State that all faults share.
         kinds: The faults to choose from.
-        pause_s: Mean time between two faults.
+        pause_s: Scale of the random pause between two injections.
     """
 
     def __init__(
@@ -306,7 +325,7 @@
         self._running: list[gevent.Greenlet] = []
 
     def run(self) -> None:
-        """Brings about faults."""
+        """Injects faults until `stopping` is set."""
         rng = self._context.rng
         while not self.stopping:
             gevent.sleep(rng.uniform(0.5, 2 * self._pause_s))
@@ -317,7 +336,7 @@
                 self._running.append(gevent.spawn(self._run_one, fault))
 
     def finish(self) -> None:
-        """Waits until every fault is mended."""
+        """Waits until every fault is repaired."""
         gevent.joinall(self._running, timeout=2 * _STOP_TIMEOUT_S)
 
     def _run_one(self, fault: Fault) -> None:
--- a/standins/soak/_record.py
+++ b/standins/soak/_record.py
@@ -1,4 +1,4 @@
-"""What a soak saw: answers, faults, violations, and a trace of them."""
+"""Observations of a soak test: responses, faults, violations and a trace."""
 
 import collections
 import pathlib
@@ -13,10 +13,10 @@
 
 @attrs.define
 class StreamRecord:
-    """One streamed answer as its caller saw it.
+    """One streamed response as its client received it.
 
     Attributes:
-        times_s: When each part came, in seconds of the soak.
+        times_s: Arrival of each chunk with text, in seconds of the soak test.
     """
 
     times_s: list[float] = attrs.field(factory=list)
@@ -24,11 +24,12 @@
 
 @attrs.define
 class CallRecord:
-    """Every answer that one idempotency key has had.
+    """All responses to the calls with one idempotency key.
 
     Attributes:
-        statuses: HTTP statuses, 0 where the connection broke.
-        ran: What the refusals said, and `yes` for an answer.
+        statuses: HTTP statuses, 0 where the connection failed.
+        ran: Whether each call ran: `yes` for a success, the refusal's `ran`
+            field, or `no` or `unknown` where the connection failed.
     """
 
     statuses: list[int] = attrs.field(factory=list)
@@ -37,7 +38,7 @@
 
 @attrs.frozen
 class FaultSpan:
-    """One fault, from its start until it was mended."""
+    """Kind of a fault, and its time from injection until repair."""
 
     kind: str
     start_s: float
@@ -45,7 +46,17 @@
 
 
 class SoakRecord:
-    """Collects everything that a soak sees."""
+    """Collects the observations of a soak test.
+
+    Attributes:
+        recovered_s: Time at which the last fault was repaired.
+        outcomes: Number of requests by kind and outcome.
+        faults: The injected faults.
+        streams: The streamed responses.
+        calls: The plain calls by idempotency key.
+        token_times_s: Arrival of each token.
+        violations: Texts of the violated invariants.
+    """
 
     def __init__(self) -> None:
         self.recovered_s = 0.0
@@ -59,11 +70,11 @@
         self._events: list[dict[str, Any]] = []
 
     def restart_clock(self) -> None:
-        """Lets the soak's time begin now."""
+        """Restarts the clock of the soak test at 0."""
         self._started = time.monotonic()
 
     def now_s(self) -> float:
-        """Returns seconds since the soak began."""
+        """Returns the seconds since the start of the soak test."""
         return time.monotonic() - self._started
 
     def add_event(self, kind: str, **fields: Any) -> None:
@@ -73,12 +84,12 @@
         )
 
     def add_violation(self, what: str, **fields: Any) -> None:
-        """Notes a broken promise."""
+        """Records the violation of an invariant."""
         self.violations.append(what)
         self.add_event("violation", what=what, **fields)
 
     def write(self, folder: pathlib.Path) -> None:
-        """Writes the trace into a folder."""
+        """Writes the trace to a file in a directory."""
         folder.mkdir(parents=True, exist_ok=True)
         lines = b"\n".join(orjson.dumps(event) for event in self._events)
         (folder / _TRACE_FILE).write_bytes(lines + b"\n")
