--- a/standins/tests/test_bundles.py
+++ b/standins/tests/test_bundles.py
@@ -1,4 +1,4 @@
-"""Bundles over real processes."""
+"""Tests of publishing bundles over real processes."""
 
 import subprocess
 import sys
@@ -76,11 +76,11 @@
 
 
 def test_two_operators_at_once_have_one_winner_in_each_round(site):
-    """Both operators believe that their limits are in force.
+    """Guards against two operators who both see their bundle accepted.
 
-    They sign on the same head and publish at the same moment. In each of
-    fifty rounds exactly one is told that it won, the other which version
-    did, and the instance has the winner's.
+    Both sign on the same head and publish at the same time. In each of fifty
+    rounds exactly one command succeeds, the other one names the accepted
+    version, and the instance has the winner's bundle.
     """
     site.start_platform(operators=2)
     site.publish()
@@ -109,10 +109,10 @@
 
 
 def test_replaced_fleet_finds_the_head_in_a_truncated_log(site):
-    """After a night of replacements, last month's limits are back.
+    """Guards against an old bundle in force after all instances are replaced.
 
-    Every record of the published versions has expired, all instances are
-    replaced at once, and somebody has appended an old record again.
+    The records of all published versions have expired, all instances are
+    replaced at the same time, and an old record is appended again.
     """
     site.start_platform(log_options=("--retention-s=4",))
     site.publish()
@@ -138,11 +138,11 @@
 
 
 def test_outage_while_publishing(site):
-    """An operator publishes, the log dies, and a new instance starts.
+    """Guards against failed publishes and starts during an outage of the log.
 
-    The append took effect but its answer was lost: the tool looks it up.
-    Then the log is down for good: a new instance takes its peers' head, and
-    a publish that waits for the log succeeds once it is back.
+    First the response to a successful append is lost, and the command finds
+    the record on the log. Then the log is down: a new instance adopts the
+    head of its peers, and a waiting publish succeeds once the log is back.
     """
     site.start_platform()
     site.publish()
--- a/standins/tests/test_deadline.py
+++ b/standins/tests/test_deadline.py
@@ -1,4 +1,4 @@
-"""Deadlines at the door, over real processes."""
+"""Tests of deadlines at admission over real processes."""
 
 import pytest
 
@@ -27,23 +27,23 @@
         yield running
 
 
-def _ask(site, max_tokens):
+def _complete(site, max_tokens):
     body = {"model": MODEL, "prompt": "two", "max_tokens": max_tokens}
     return site.call("entry-a", "school-1", "POST", "/v1/completions", body)
 
 
 def test_request_that_cannot_be_in_time_is_refused_at_once(site):
-    """A producer waits until the deadline and then gets nothing.
+    """Guards against work on a request that cannot meet its deadline.
 
-    A draft of 3000 tokens is asked of engines that run 40 a second: the end
-    of the time allowed could be known when the request came. It is refused
-    before any engine runs a layer of it, and a shorter one is still answered.
+    A request for 3000 tokens arrives at engines that run 40 tokens per
+    second, so the missed deadline is known on arrival. The entry refuses it
+    before any engine runs a layer, and still serves a shorter request.
     """
-    answer = _ask(site, 3000)
-    error = answer.json()["error"]
+    response = _complete(site, 3000)
+    error = response.json()["error"]
     assert error["type"] == "deadline_exceeded"
     assert error["ran"] == "no"
     assert error["retry_after_ms"] > 0
     engines = [p.name for p in site.processes.values() if p.role == "engine"]
     assert sum(site.read_counters(e)["layers_run"] for e in engines) == 0
-    assert _ask(site, 4).status == 200
+    assert _complete(site, 4).status == 200
--- a/standins/tests/test_limits.py
+++ b/standins/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""Limits of one account over two entries, as callers see them."""
+"""Tests of an account's limits over two entries, as clients see them."""
 
 import gevent
 import pytest
@@ -54,7 +54,7 @@
 
 
 def test_streams_of_an_account_are_bounded_over_all_entries(site):
-    """A heavy account opens as many streams again at the second entry."""
+    """Guards against an account that uses its whole limit at each entry."""
     calls = [
         gevent.spawn(_complete, site, number, "narrow", 150)
         for number in range(16)
@@ -66,7 +66,7 @@
 
 
 def test_tokens_of_a_minute_are_bounded_over_all_entries(site):
-    """A heavy account uses its minute's tokens once at each entry."""
+    """Guards against an account that uses its token rate at each entry."""
     answers = [_complete(site, number, "poor", 100) for number in range(40)]
     served = len(answers) - _refusals(answers)
     assert 1 <= served <= 2 * 1200 // 100 + len(_ENTRIES)
@@ -80,11 +80,11 @@
     assert answer.json()["error"]["ran"] == "no"
 
 
-def test_account_is_served_when_its_home_is_gone(site):
-    """Every request of an account waits, or is refused, after a crash.
+def test_account_is_served_after_its_home_entry_has_crashed(site):
+    """Guards against refusals of an account after its home entry crashed.
 
-    The entry that is home to the account is killed; the other one has to
-    serve it from the share that it holds, which decays but never opens.
+    The home entry is killed. The other entry serves the account from the
+    share that it holds, which decays but does not become unlimited.
     """
     site.processes["entry-b"].kill()
     served = sum(
--- a/standins/tests/test_once.py
+++ b/standins/tests/test_once.py
@@ -1,4 +1,4 @@
-"""At most once over real processes, each fault at its worst moment."""
+"""Tests of at-most-once calls over real processes, with injected faults."""
 
 import signal
 
@@ -30,10 +30,10 @@
 
 
 @pytest.fixture(autouse=True)
-def _calm(site):
+def _repair_site(site):
     yield
-    calm = {"down": False, "silent": False, "lose_answers": 0}
-    site.control("log", {**calm, "answer_delay_ms": 0})
+    no_faults = {"down": False, "silent": False, "lose_answers": 0}
+    site.control("log", {**no_faults, "answer_delay_ms": 0})
     for plain in _plains(site):
         site.control(plain, {"delay_ms": 5})
     _restore(site)
@@ -44,7 +44,7 @@
 
 
 def _restore(site):
-    """Puts a new process in the place of each one that was killed."""
+    """Replaces each killed process by a new one with a new name."""
     for process in list(site.processes.values()):
         if process.popen.poll() is None:
             continue
@@ -90,12 +90,12 @@
     return sum(site.read_counters(p)["runs"].get(key, 0) for p in _plains(site))
 
 
-def _started(site, name):
+def _admitted_calls(site, name):
     return site.metric(name, "caroblug_calls_admitted_total")
 
 
 def _wait_run(site, key):
-    """Waits until the service runs a key; returns the owner's name."""
+    """Waits until the service runs a key; returns the owner's instance."""
     site.wait_for(lambda: _runs(site, key) > 0, f"a run of {key}")
     for plain in _plains(site):
         if key in site.read_counters(plain)["runs"]:
@@ -104,14 +104,14 @@
     raise AssertionError(key)
 
 
-def _spawn_book(site, key, entry=0):
-    def _book_or_lose():
+def _book_in_thread(site, key, entry=0):
+    def _book_or_none():
         try:
             return _book(site, key, entry)
         except ConnectionError:
             return None
 
-    return gevent.get_hub().threadpool.spawn(_book_or_lose)
+    return gevent.get_hub().threadpool.spawn(_book_or_none)
 
 
 def _wait_admitted(site, before):
@@ -119,7 +119,7 @@
     found = []
 
     def _admitted():
-        found[:] = [s for s in before if _started(site, s) > before[s]]
+        found[:] = [s for s in before if _admitted_calls(site, s) > before[s]]
         return bool(found)
 
     site.wait_for(_admitted, "an admitted call")
@@ -127,8 +127,8 @@
 
 
 def test_same_key_at_both_entries_at_once_runs_once(site):
-    """A teacher's application sends a booking twice, to two entries."""
-    pending = [_spawn_book(site, "twin", entry) for entry in (0, 1) * 4]
+    """Guards against two runs of a call that is sent to both entries."""
+    pending = [_book_in_thread(site, "twin", entry) for entry in (0, 1) * 4]
     answers = [p.get() for p in pending]
     assert {a.status for a in answers} == {201}
     assert len({a.body for a in answers}) == 1
@@ -136,10 +136,10 @@
 
 
 def test_resent_key_is_replayed_and_another_body_refused(site):
-    """A key is used again by mistake, with another class's seats."""
+    """Guards against a replay for a different request with the same key."""
     first = _book(site, "kept")
-    again = _book(site, "kept", 1)
-    assert (again.status, again.body) == (first.status, first.body)
+    resent = _book(site, "kept", 1)
+    assert (resent.status, resent.body) == (first.status, first.body)
     other = _book(site, "kept", 0, {"show": "autumn", "seats": 25})
     assert other.status == 409
     error = other.json()["error"]
@@ -147,7 +147,7 @@
     assert _runs(site, "kept") == 1
 
 
-def test_long_answer_is_not_replayed_but_said_to_have_run(site):
+def test_long_response_is_not_replayed_but_reported_as_run(site):
     for plain in _plains(site):
         site.control(plain, {"padding": 20_000})
     assert _book(site, "long").status == 201
@@ -157,13 +157,13 @@
 
 
 def test_entry_dies_while_the_call_runs(site):
-    """The caller loses its connection and books again elsewhere."""
+    """Guards against a second run when a client resends at another entry."""
     for plain in _plains(site):
         site.control(plain, {"delay_ms": 800})
-    lost = _spawn_book(site, "entry-dies", 0)
+    pending_response = _book_in_thread(site, "entry-dies", 0)
     _wait_run(site, "entry-dies")
     site.processes[_entries(site)[0]].kill()
-    assert lost.get() is None
+    assert pending_response.get() is None
     answer = _book(site, "entry-dies", 1)
     assert answer.status == 201
     assert answer.json()["run"] == 1
@@ -171,16 +171,17 @@
 
 
 def test_side_dies_between_call_and_outcome(site):
-    """The owner dies while the service books: nobody knows the answer.
+    """Guards against a second run when the owner crashes during a call.
 
-    The caller is told so; a resend finds the intent on the log without an
-    outcome, is told the same, and books nothing.
+    The outcome is unknown, and the client receives a refusal with
+    `ran: unknown`. A resend finds the intent on the log without an outcome,
+    gets the same refusal and does not run.
     """
     for plain in _plains(site):
         site.control(plain, {"delay_ms": 800})
-    lost = _spawn_book(site, "side-dies")
+    pending_response = _book_in_thread(site, "side-dies")
     site.processes[_wait_run(site, "side-dies")].kill()
-    assert lost.get().json()["error"]["ran"] == "unknown"
+    assert pending_response.get().json()["error"]["ran"] == "unknown"
     _restore(site)
     for entry in (0, 1):
         error = _book(site, "side-dies", entry).json()["error"]
@@ -189,17 +190,21 @@
 
 
 def test_side_dies_between_intent_and_call(site):
-    """The intent is on the log, the call was never made: still unknown."""
-    before = {s: _started(site, s) for s in _sides(site)}
+    """Guards against a run of a call whose intent has no outcome.
+
+    The owner crashes after the intent is on the log and before the call. Its
+    successor cannot tell whether the call has run.
+    """
+    before = {s: _admitted_calls(site, s) for s in _sides(site)}
     appends = site.read_counters("log")["appends"]
     site.control("log", {"answer_delay_ms": 700})
-    lost = _spawn_book(site, "before-call")
+    pending_response = _book_in_thread(site, "before-call")
     owner = _wait_admitted(site, before)
     site.wait_for(
         lambda: site.read_counters("log")["appends"] > appends, "the intent"
     )
     site.processes[owner].kill()
-    assert lost.get().json()["error"]["ran"] == "unknown"
+    assert pending_response.get().json()["error"]["ran"] == "unknown"
     site.control("log", {"answer_delay_ms": 0})
     _restore(site)
     assert _book(site, "before-call").json()["error"]["ran"] == "unknown"
@@ -207,29 +212,29 @@
 
 
 def test_paused_owner_does_not_call_late(site):
-    """A paused side process wakes up and books, long after the answer.
+    """Guards against a call that a paused owner sends after its deadline.
 
-    It is stopped after its intent was written and woken after the call's
-    time has passed. It sees its own clock, voids the intent, and a resend
-    books once.
+    A side process is suspended after its intent is on the log and resumed
+    after the call's deadline. It detects the missed deadline by its own clock
+    and voids the intent, and a resend runs once.
     """
-    before = {s: _started(site, s) for s in _sides(site)}
+    before = {s: _admitted_calls(site, s) for s in _sides(site)}
     appends = site.read_counters("log")["appends"]
     site.control("log", {"answer_delay_ms": 700})
-    lost = _spawn_book(site, "paused")
+    pending_response = _book_in_thread(site, "paused")
     owner = _wait_admitted(site, before)
     site.wait_for(
         lambda: site.read_counters("log")["appends"] > appends, "the intent"
     )
     site.processes[owner].signal(signal.SIGSTOP)
     site.control("log", {"answer_delay_ms": 0})
-    assert lost.get().json()["error"]["ran"] == "unknown"
-    # The pause itself is the fault: it has to outlast the call's time.
+    assert pending_response.get().json()["error"]["ran"] == "unknown"
+    # The suspension has to last longer than the call's timeout.
     gevent.sleep(_TIMEOUT_MS / 1000 + 0.5)
     site.processes[owner].signal(signal.SIGCONT)
     site.wait_for(
         lambda: site.metric(owner, "caroblug_calls_past_deadline_total") > 0,
-        "the owner's look at its clock",
+        "the owner to detect the missed deadline",
     )
     assert _runs(site, "paused") == 0
     site.wait_for(lambda: _book(site, "paused").status == 201, "a booking")
@@ -237,7 +242,7 @@
 
 
 def test_lost_answer_of_an_append_is_read_back(site):
-    """The log takes the intent, but its answer never arrives."""
+    """Guards against a failure when the response to an append is lost."""
     _book(site, "warm")
     appends = site.read_counters("log")["appends"]
     site.control("log", {"lose_answers": 1})
@@ -252,9 +257,11 @@
 
 @pytest.mark.parametrize("fault", ["down", "silent"])
 def test_log_outage_refuses_what_may_not_be_repeated(site, fault):
-    """Bookings are refused at once, seats can still be looked up.
+    """Guards against unlogged calls during an outage of the log.
 
-    `ran: no` is true: after the outage the same key books once.
+    Calls that may not be repeated are refused, while GET requests and replays
+    still work. The refusal's `ran: no` has to be true: after the outage the
+    same key runs once.
     """
     key = f"outage-{fault}"
     _book(site, f"known-{fault}")
@@ -276,10 +283,10 @@
 
 
 def test_slow_look_up_is_hedged(site):
-    """One booking desk is slow, and every second look-up waits for it.
+    """Guards against slow GET requests when one of two servers is slow.
 
-    A look-up may be repeated: past the p95 of recent ones it is asked of the
-    other desk as well, and the first answer counts.
+    A GET request may be repeated. After the p95 of recent requests it is also
+    sent to the other server, and the first response is used.
     """
     entry = _entries(site)[0]
 
@@ -306,6 +313,7 @@
         assert _look_up().status == 200
         return _resends() >= 1
 
-    # Reports of running calls lag, so that some calls take the other desk.
-    site.wait_for(_is_hedged, "a second sending")
+    # Reports of running calls are delayed, so some calls go to the other
+    # server.
+    site.wait_for(_is_hedged, "a hedged request")
     assert _resends() <= 10 + calls / 10
--- a/standins/tests/test_orders.py
+++ b/standins/tests/test_orders.py
@@ -1,4 +1,4 @@
-"""Orders to engines over real processes."""
+"""Tests of orders to engines over real processes."""
 
 import signal
 
@@ -23,7 +23,7 @@
 
 
 def _start(site, engines, options=()):
-    """Starts engines whose side processes ask a weight store."""
+    """Starts engines whose side processes reserve loads at a weight store."""
     site.start_platform()
     site.add_account(_ACCOUNT)
     site.publish()
@@ -57,10 +57,12 @@
 
 
 def test_engines_follow_the_bundle_at_the_weight_stores_rate():
-    """A bundle gives half a model's engines the other half of its layers.
+    """Guards against loads beyond the rate of the weight store.
 
-    All engines want weights at once; the store lets one in at a time, and
-    says when to come back. Then whole answers are served.
+    A bundle extends all engines from half of a model's layers to all of them.
+    Their side processes request loads at the same time. The store grants one
+    per period and sets `Retry-After`, which they respect. Afterwards
+    requests are served.
     """
     with make_site() as site:
         _start(site, 3)
@@ -98,12 +100,13 @@
 
 @pytest.mark.parametrize("option", ["--check-fence", "--no-check-fence"])
 def test_late_order_of_a_paused_holder_does_no_harm(option):
-    """An engine falls back to the weights of the bundle before.
+    """Guards against an engine that returns to an older bundle's weights.
 
-    A side process is stopped while its order is on the way. Its successor
-    waits out the lease and orders the newer bundle's state; then the late
-    order arrives. An engine that checks refuses it; at one that ignores
-    numbers the successor sees the wrong state and orders again.
+    A side process is suspended while its order is in flight. Its successor
+    waits for the lease to expire and orders the state of the newer bundle.
+    Then the late order arrives. An engine that checks fencing numbers refuses
+    it. At an engine that ignores them, the successor detects the wrong state
+    and orders again.
     """
     with make_site() as site:
         _start(site, 1, (option,))
@@ -133,7 +136,7 @@
                 return seen["fenced"] == 1
             return seen["orders"] >= 3 and _version(site) == "v2"
 
-        site.wait_for(_has_landed, "the late order and its mending")
+        site.wait_for(_has_landed, "the late order and its repair")
         seen = site.metric(
             "side-again", "caroblug_engine_changed_by_others_total"
         )
--- a/standins/tests/test_path.py
+++ b/standins/tests/test_path.py
@@ -1,4 +1,4 @@
-"""The whole path over real processes."""
+"""Tests of the whole request path over real processes."""
 
 import pytest
 
@@ -98,10 +98,10 @@
 
 
 def test_stage_that_crashes_is_replaced(site):
-    """A caller's stream stops in the middle of a sentence.
+    """Guards against a stream that ends when one of its stages crashes.
 
-    A side process is killed while tokens flow; the entry opens a newer
-    attempt with another instance in its place, and the answer stays whole.
+    A side process is killed in the middle of a stream. The entry opens a new
+    attempt with another instance for that stage, and the text is complete.
     """
     tokens = 200
     body = _body(max_tokens=tokens)
--- a/standins/tests/test_poison.py
+++ b/standins/tests/test_poison.py
@@ -1,4 +1,4 @@
-"""Requests that crash engines, over real processes and two entries."""
+"""Tests of requests that crash engines, over real processes."""
 
 import gevent
 import pytest
@@ -20,24 +20,24 @@
     return make_tokenizer(vocabulary).encode(_WORD)[0]
 
 
-def _start(site, strikes_first_stage):
+def _start(site, crashes_first_stage):
     site.start_platform()
     for account in ("poisoner", "school-1"):
         site.add_account(account)
     site.publish()
     poison = (f"--poison-token={_poison_token(site)}",)
-    if not strikes_first_stage:
-        poison = (f"--poison-state={_late_state(site)}",)
-    struck = 0 if strikes_first_stage else 1
+    if not crashes_first_stage:
+        poison = (f"--poison-state={_second_stage_state(site)}",)
+    crashing_stage = 0 if crashes_first_stage else 1
     for number, (first, end) in enumerate(((0, 12), (12, 24))):
-        for copy in range(_COPIES if number == struck else 1):
+        for copy in range(_COPIES if number == crashing_stage else 1):
             site.start_engine(
                 EngineSpec(
                     name=f"engine-{number}-{copy}",
                     data_centre="muscat-a",
                     first_layer=first,
                     end_layer=end,
-                    options=poison if number == struck else (),
+                    options=poison if number == crashing_stage else (),
                 )
             )
     for entry in _ENTRIES:
@@ -45,8 +45,8 @@
     site.wait_ready()
 
 
-def _late_state(site):
-    """Returns the state that the bad prompt's second stage is given."""
+def _second_stage_state(site):
+    """Returns the input of the second stage for the poison prompt."""
     vocabulary = site.bundle["models"][MODEL]["vocabulary"]
     prompt = make_tokenizer(vocabulary).encode(f"user: {_WORD}")
     caches = [bytes(reference.STATE_BYTES)] * 12
@@ -101,21 +101,22 @@
     return answer.json()["choices"][0]["message"]["content"]
 
 
-@pytest.mark.parametrize("strikes_first_stage", [True, False])
-def test_one_request_crashes_few_engines_and_takes_nobody_with_it(
-    strikes_first_stage,
+@pytest.mark.parametrize("crashes_first_stage", [True, False])
+def test_poison_request_crashes_few_engines_and_fails_no_other_stream(
+    crashes_first_stage,
 ):
-    """Engine after engine goes down, and everybody's answers stop.
+    """Guards against one request that crashes engine after engine.
 
-    A caller sends one bad request by both entries, many times at once and
-    then again. Each engine that runs it crashes, with other callers' streams
-    in the same batch, and is started again by the platform.
+    A client sends the same poison request through both entries, first many
+    times concurrently and then again. Each engine that runs it crashes while
+    streams of other clients are in the same batch, and the platform restarts
+    the engine. The request has to be quarantined after a few crashes.
     """
     with make_site() as site:
-        _start(site, strikes_first_stage)
+        _start(site, crashes_first_stage)
         supervisor = Supervisor(site)
         texts = [f"planet {n} rises" for n in range(8)]
-        companions = [
+        other_requests = [
             gevent.spawn(_complete, site, _ENTRIES[n % 2], "school-1", text)
             for n, text in enumerate(texts)
         ]
@@ -123,14 +124,16 @@
         poisons = [
             gevent.spawn(_send_poison, site, _ENTRIES[n % 2]) for n in range(8)
         ]
-        gevent.joinall(poisons + companions, timeout=_WAIT_S)
+        gevent.joinall(poisons + other_requests, timeout=_WAIT_S)
         for poison in poisons:
             status, error, headers = poison.get(block=False)
             assert (status, error["type"]) == (429, "quarantined")
             assert error["retry_after_ms"] > 0
             assert "retry-after" in [name.lower() for name, _ in headers]
-        for text, companion in zip(texts, companions, strict=True):
-            assert _content(companion.get(block=False)) == _expected(site, text)
+        for text, other_request in zip(texts, other_requests, strict=True):
+            assert _content(other_request.get(block=False)) == _expected(
+                site, text
+            )
         for entry in _ENTRIES * 3:
             status, error, _ = _send_poison(site, entry)
             assert (status, error["type"]) == (429, "quarantined")
--- a/standins/tests/test_recovery.py
+++ b/standins/tests/test_recovery.py
@@ -1,4 +1,4 @@
-"""Faults of stages, links and entries over real processes."""
+"""Tests of faults of stages, links and entries over real processes."""
 
 import signal
 
@@ -44,7 +44,7 @@
 
 @pytest.fixture(autouse=True)
 def _restore_and_check(site):
-    """Begins with every side known, ends with no stream kept anywhere."""
+    """Restarts ended sides before a test and checks for leaks after it."""
     for name in _SIDES:
         process = site.processes[name]
         if process.popen.poll() is not None:
@@ -75,7 +75,7 @@
 
 
 def _start_stream(site, seed, tokens=_TOKENS):
-    """Returns a caller whose tokens flow, and the sides of its chain."""
+    """Returns a caller that receives tokens, and the sides of its chain."""
     before = _opened(site)
     caller = _request(site, seed, tokens)
     caller.wait_for_chunks(_CHUNKS_BEFORE_FAULT)
@@ -109,9 +109,9 @@
 
 
 def test_crash_of_a_stage_runs_nothing_twice(site):
-    """A caller waits while layers that still live run again.
+    """Guards against recomputation in stages that have not failed.
 
-    The last stage's side process is killed; the first stage feeds the
+    The last stage's side process is killed. The first stage feeds the
     replacement from its journal, and its engine runs each position once.
     """
     before = {s: _layers_run(site, s) for s in _opened(site)}
@@ -123,11 +123,11 @@
 
 
 def test_frozen_stage_is_replaced_and_wakes_harmlessly(site):
-    """A caller's stream hangs although every connection is open.
+    """Guards against a stream that hangs while all connections are open.
 
-    A side process is stopped, so that its kernel still accepts; it answers
-    on no connection and is replaced. Awake again it holds an old attempt,
-    which its peers refuse and which it then forgets.
+    A side process is suspended, so its kernel still accepts connections but
+    the process does not respond. It is replaced. After it resumes, it holds
+    an old attempt, which its peers refuse and which it then discards.
     """
     caller, (_, last) = _start_stream(site, 12)
     site.processes[last].signal(signal.SIGSTOP)
@@ -142,10 +142,11 @@
 
 
 def test_hung_engine_is_found_by_its_side(site):
-    """A caller's stream hangs while every side process answers.
+    """Guards against a stream that hangs while all side processes respond.
 
-    An engine hangs behind a side process that lives; the side takes it for
-    lost, tells the entry, and offers the engine again once it answers.
+    An engine hangs while its side process runs. The side considers the engine
+    lost, reports this to the entry, and becomes ready again once the engine
+    responds.
     """
     caller, (first, _) = _start_stream(site, 14)
     site.control(_engine(first), {"hang": True})
@@ -155,10 +156,10 @@
 
 
 def test_cut_link_between_two_sides(site):
-    """A caller's stream hangs while the entry reaches every stage.
+    """Guards against a stream that hangs while the entry reaches all stages.
 
-    The link between two sides is cut; only they notice. The side that sends
-    tells the entry, and the stage it can't reach is replaced.
+    The link between two sides is cut, which only these detect. The sending
+    side reports it to the entry, which replaces the unreachable stage.
     """
     for seed in range(100, 130):
         caller, sides = _start_stream(site, seed)
@@ -175,11 +176,11 @@
 
 @pytest.mark.parametrize("order", ["silence", "reset"])
 def test_lost_connections_disturb_nothing(site, order):
-    """A caller's stream is moved although all of its stages live.
+    """Guards against a recovery that lost connections do not require.
 
-    Every connection through two relays goes silent for good, or is reset,
-    while new ones work; what was lost is sent again on a new connection,
-    and no stream needs another attempt.
+    All connections through two relays become silent or are reset, while new
+    ones work. Lost frames are resent on a new connection, and no stream needs
+    another attempt.
     """
     recovered = _recovered(site)
     caller, _ = _start_stream(site, 16)
@@ -190,10 +191,10 @@
 
 
 def test_two_faults_at_once(site):
-    """A caller's stream hangs for good after a second fault.
+    """Guards against a stream that hangs after two concurrent faults.
 
-    One stage is killed and the other frozen at the same moment: no stage
-    lives on, and a whole new chain runs the prompt again.
+    One stage is killed and the other one suspended at the same time. No
+    stage is left, and a new chain runs the prompt again.
     """
     caller, (first, last) = _start_stream(site, 17)
     site.processes[first].signal(signal.SIGSTOP)
@@ -203,10 +204,10 @@
 
 
 def test_streams_of_a_dead_entry_end(site):
-    """Engines go on for callers who are gone.
+    """Guards against work for streams whose entry has crashed.
 
-    An entry is killed with a stream running; its sides lose the connection
-    and forget the stream.
+    An entry is killed while it has a stream. The sides lose the connection
+    and discard the stream.
     """
     site.start_entry(EntrySpec(name="entry-b", data_centre="muscat-b"))
     site.wait_ready()
@@ -223,11 +224,12 @@
 
 
 def test_leaving_side_hands_its_streams_on(site):
-    """A caller's stream is cut short by a restart.
+    """Guards against a stream that is cut off when a side process drains.
 
-    A side process is told to stop and its drain is shorter than a stream;
-    before it ends, another first stage takes over and the last one goes on.
-    The old one is told so, and must not end the stage behind it as well.
+    A side process is stopped, and its drain time is shorter than the stream.
+    Before it ends, another instance takes over the first stage and the last
+    stage continues. The cancellation of the old stage must not end the last
+    stage as well.
     """
     caller, (first, _) = _start_stream(site, 19, 800)
     assert site.stop(first) == 0
@@ -236,11 +238,11 @@
 
 
 def test_listed_as_leaving_gets_nothing_new(site):
-    """A stream is cut off on an instance that the platform takes away.
+    """Guards against streams cut off on an instance that the platform removes.
 
-    The list says that an instance leaves before its side process knows. The
-    entry opens nothing new there, the side drains by itself, and callers
-    who come meanwhile see nothing of it.
+    The instance list shows an instance as leaving before its side process
+    knows. The entry opens no new streams there, the side process drains, and
+    requests that arrive meanwhile succeed.
     """
     caller, (first, _) = _start_stream(site, 20)
     site.list_instance(first, "leaving")
@@ -252,7 +254,7 @@
     later_callers = [_request(site, 30 + number, 60) for number in range(4)]
     for later_caller in later_callers:
         assert later_caller.join().is_correct
-        # It may have drained and ended by now, which is right as well.
+        # The side may also have drained and ended by now.
         assert _opened_until_end(site, first) in (before, None)
     assert caller.join().is_correct
     assert site.processes[first].popen.wait(30) == 0
@@ -272,10 +274,10 @@
 
 
 def test_rolling_restart_cuts_nothing_short(site):
-    """A caller's stream breaks whenever the fleet is updated.
+    """Guards against broken streams during a rolling update.
 
-    Every side and every entry is restarted, one after the other, while
-    callers come to whichever entry says that it is ready.
+    All sides and entries are restarted, one after the other, while requests
+    go to the entries that are ready.
     """
     site.start_entry(EntrySpec(name="entry-b", data_centre="muscat-b"))
     site.wait_ready()
