--- a/conftest.py
+++ b/conftest.py
@@ -1,9 +1,10 @@
-"""Settings for every test: Hypothesis gives the same verdict each time.
+"""Pytest configuration: Hypothesis profiles and known failures.
 
-`--hypothesis-profile=long` draws other and many more examples.
+The default profile `ci` draws the same examples in each run.
+`--hypothesis-profile=long` draws random ones, and many more.
 
-Tests that `KNOWN-RED.txt` lists run like the others, but their failure is only
-printed.
+Tests listed in `KNOWN-RED.txt` run like the others, but their failures are
+only reported.
 """
 
 import pathlib
@@ -22,22 +23,22 @@
 hypothesis.settings.load_profile("ci")
 
 
-def _read_known_red() -> dict[str, str]:
-    """Returns what is listed: reasons by test."""
+def _read_known_failures() -> dict[str, str]:
+    """Returns the reasons of the listed known failures by test."""
     if not _KNOWN_RED.exists():
         return {}
-    listed = {}
+    reasons = {}
     for line in _KNOWN_RED.read_text().splitlines():
-        test, bar, reason = line.partition(" | ")
-        if bar and not line.startswith("#"):
-            listed[test.strip()] = reason.strip()
-    return listed
+        test, separator, reason = line.partition(" | ")
+        if separator and not line.startswith("#"):
+            reasons[test.strip()] = reason.strip()
+    return reasons
 
 
 def pytest_collection_modifyitems(items):
-    """Marks listed tests, so that only these may fail."""
-    listed = _read_known_red()
+    """Marks the listed tests as expected failures."""
+    reasons = _read_known_failures()
     for item in items:
-        if item.nodeid in listed:
-            reason = f"KNOWN-RED: {listed[item.nodeid]}"
+        if item.nodeid in reasons:
+            reason = f"KNOWN-RED: {reasons[item.nodeid]}"
             item.add_marker(pytest.mark.xfail(reason=reason, strict=False))
--- a/docs/make_capacity.py
+++ b/docs/make_capacity.py
@@ -1,7 +1,8 @@
-"""Writes the table of docs/CAPACITY.md from the benchmarks' JSON.
+"""Generates the table of docs/CAPACITY.md from the benchmarks' results.
 
-Each benchmark's last line is kept as docs/measurements/NAME.json. A row whose
-measurement is missing says so; none is filled in by hand.
+The last line of each benchmark is stored as docs/measurements/NAME.json. A
+row without a measurement is marked as not measured; no value is entered by
+hand.
 """
 
 import json
@@ -38,16 +39,17 @@
 
 @attrs.frozen
 class Row:
-    """One line of the table.
+    """One row of the table.
 
     Attributes:
-        role: Who bears it.
-        what: What is worked out, with its unit.
-        mechanism: What carries it.
+        role: Role of the process that bears the cost.
+        what: The computed quantity, with its unit.
+        mechanism: Mechanism that causes or bounds the cost.
         benchmark: Name of the measurement; empty if none is needed.
-        value: Works it out from the figures of that measurement.
-        limit: What it may be; 0 if nothing is set.
-        note: How it is worked out.
+        value: Function that computes the quantity from the figures of that
+            measurement.
+        limit: Maximum value; 0 if there is none.
+        note: How the quantity is computed.
     """
 
     role: str
@@ -192,7 +194,7 @@
 
 
 def load_figures() -> Figures:
-    """Returns the figures of every measurement kept."""
+    """Returns the figures of every stored measurement by benchmark."""
     figures = {}
     for path in sorted((_DOCS / "measurements").glob("*.json")):
         body = json.loads(path.read_text())
@@ -208,20 +210,20 @@
         "|---|---|---|---|---|---|",
     ]
     for row in ROWS:
-        value = _value(row, figures)
+        value = _evaluate(row, figures)
         limit = f"{row.limit:g}" if row.limit else ""
         over = isinstance(value, float) and row.limit and value > row.limit
-        shown = value if isinstance(value, str) else f"{value:.4g}"
+        text = value if isinstance(value, str) else f"{value:.4g}"
         if over:
-            shown = f"**{shown} (over)**"
+            text = f"**{text} (over)**"
         lines.append(
-            f"| {row.role} | {row.what} | {shown} | {limit} "
+            f"| {row.role} | {row.what} | {text} | {limit} "
             f"| {row.mechanism} | {row.note} |"
         )
     return "\n".join(lines)
 
 
-def _value(row: Row, figures: Figures) -> float | str:
+def _evaluate(row: Row, figures: Figures) -> float | str:
     if not row.benchmark:
         return float(row.value({}))
     if row.benchmark not in figures:
@@ -233,7 +235,11 @@
 
 
 def make_page(text: str) -> str:
-    """Returns the page's text with a fresh table."""
+    """Returns the page's text with a regenerated table.
+
+    Args:
+        text: The page with the markers of the table.
+    """
     head, _, rest = text.partition(_BEGIN)
     _, _, tail = rest.partition(_END)
     return f"{head}{_BEGIN}\n{make_table()}\n{_END}{tail}"
--- a/docs/make_settings.py
+++ b/docs/make_settings.py
@@ -1,4 +1,4 @@
-"""Writes docs/settings.md from the settings classes."""
+"""Generates docs/settings.md from the settings classes."""
 
 import pathlib
 
@@ -17,14 +17,14 @@
 from caroblug.node import describe_settings
 from caroblug.side import SideSettings
 
-_TARGET = pathlib.Path(__file__).parent / "settings.md"
-_HEAD = """# Settings
+_PAGE = pathlib.Path(__file__).parent / "settings.md"
+_HEADER = """# Settings
 
 Made by `python docs/make_settings.py` from the classes that check them.
 Programs read a TOML file (`--config`); `--check-config` names every mistake.
 
 """
-_BUNDLE_PARTS = (
+_BUNDLE_CLASSES = (
     ("Bundle: `[models.NAME]`", ModelRule),
     ("Bundle: `[services.NAME]`", ServiceRule),
     ("Bundle: `[client_accounts.NAME]`", ClientAccount),
@@ -36,16 +36,16 @@
 
 
 def make_page() -> str:
-    """Returns the whole page."""
+    """Returns the page as Markdown."""
     parts = [
         describe_settings("`caroblug-entry`", EntrySettings),
         describe_settings("`caroblug-side`", SideSettings),
     ]
-    for title, cls in _BUNDLE_PARTS:
+    for title, cls in _BUNDLE_CLASSES:
         if attrs.fields(cls):
             parts.append(describe_settings(title, cls))
-    return _HEAD + "\n".join(parts)
+    return _HEADER + "\n".join(parts)
 
 
 if __name__ == "__main__":
-    _TARGET.write_text(make_page())
+    _PAGE.write_text(make_page())
--- a/examples/completion.py
+++ b/examples/completion.py
@@ -1,4 +1,4 @@
-"""Asks an entry for a streamed answer and prints it as it comes.
+"""Requests a streamed chat completion from an entry and prints the events.
 
 python examples/completion.py 127.0.0.1:8080 KEY MODEL "autumn sky"
 """
@@ -10,7 +10,7 @@
 
 
 def main() -> None:
-    """Parses the command line and prints the answer."""
+    """Parses the command line and prints the response as it arrives."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("entry", metavar="HOST:PORT")
     parser.add_argument("key")
--- a/examples/fair_queue.py
+++ b/examples/fair_queue.py
@@ -1,10 +1,10 @@
-"""Shows how a fair queue serves a light account beside a heavy one."""
+"""Demonstrates fair queueing between a light and a heavy account."""
 
 from caroblug.core.limits import FairQueue
 
 
 def main() -> None:
-    """Prints the order in which items are served."""
+    """Prints the items of both accounts in the order of service."""
     queue: FairQueue[str] = FairQueue()
     for number in range(6):
         queue.put("heavy", f"heavy-{number}", cost=10)
