--- a/benchmarks/_fleet.py
+++ b/benchmarks/_fleet.py
@@ -83,14 +83,14 @@
         super()._spawn(process, command)
 
 
-def healthy_links() -> dict[str, tuple[float, float]]:
+def make_healthy_links() -> dict[str, tuple[float, float]]:
     """Returns the links as they are on a good day."""
     return dict.fromkeys(PLACES, (LINK_MS, 0.0))
 
 
-def degraded_links() -> dict[str, tuple[float, float]]:
+def make_degraded_links() -> dict[str, tuple[float, float]]:
     """Returns the links with one data centre's a hundred times as slow."""
-    links = healthy_links()
+    links = make_healthy_links()
     links[PLACES[-1]] = (LINK_MS * DEGRADATION, 0.0)
     return links
 
@@ -146,7 +146,7 @@
         del site.processes[name]
 
 
-def bound_positions_per_s() -> float:
+def compute_max_positions_per_s() -> float:
     """Returns the most positions a second that the fleet can run."""
     views = [
         EngineView(
--- a/benchmarks/_load.py
+++ b/benchmarks/_load.py
@@ -16,11 +16,11 @@
 _ID_MARK = b'"id":"cmpl-'
 _END_MARK = b"data: [DONE]"
 _TIMEOUT_S = 120.0
-_PAUSE_S = 0.05
+_POLL_S = 0.05
 
 
 @attrs.frozen
-class Shape:
+class RequestShape:
     """One kind of request.
 
     Attributes:
@@ -35,7 +35,7 @@
 
 
 @attrs.frozen
-class Gap:
+class TokenGap:
     """A caller's wait for its next token.
 
     Attributes:
@@ -64,12 +64,12 @@
     """
 
     tokens: list[tuple[float, int]] = attrs.field(factory=list)
-    gaps: list[Gap] = attrs.field(factory=list)
+    gaps: list[TokenGap] = attrs.field(factory=list)
     prompts: list[tuple[float, int]] = attrs.field(factory=list)
     failed: int = 0
     answered: int = 0
 
-    def generated(self, start: float, end: float) -> int:
+    def generated_tokens(self, start: float, end: float) -> int:
         """Returns the tokens that came in a span of time."""
         return sum(n for at, n in self.tokens if start <= at < end)
 
@@ -79,7 +79,7 @@
         A prompt counts when its first token comes; that token is the answer
         to its last position, which is not run twice.
         """
-        tokens = self.generated(start, end)
+        tokens = self.generated_tokens(start, end)
         in_span = [n for at, n in self.prompts if start <= at < end]
         return tokens / (tokens + sum(in_span) - len(in_span))
 
@@ -100,7 +100,7 @@
         site: Site,
         account: str,
         entries: Sequence[str],
-        shapes: Sequence[Shape],
+        shapes: Sequence[RequestShape],
         seed: int,
     ) -> None:
         self.tally = Tally()
@@ -116,7 +116,7 @@
         """Starts closed loops."""
         for number in range(streams):
             entry = self._entries[number % len(self._entries)]
-            self._running.append(gevent.spawn(self._loop, entry))
+            self._running.append(gevent.spawn(self._run_loop, entry))
 
     def stop(self) -> None:
         """Ends every loop, also in the middle of an answer."""
@@ -137,41 +137,43 @@
             f"w{self._random.randrange(10_000)}" for _ in range(words)
         )
         try:
-            whole = self._stream(entry, prompt, tokens)
+            complete = self._stream_completion(entry, prompt, tokens)
         except OSError:
-            whole = False
-        if whole:
+            complete = False
+        if complete:
             self.tally.answered += 1
         else:
             self.tally.failed += 1
-            gevent.sleep(_PAUSE_S)
+            gevent.sleep(_POLL_S)
 
-    def _loop(self, entry: str) -> None:
+    def _run_loop(self, entry: str) -> None:
         """Sends one request after the other.
 
         The first is the rest of one, with a prompt of one word and its tokens
         cut at random: the loops don't run in step, and the run does not begin
         with every prompt at once.
         """
-        shape = self._draw()
+        shape = self._draw_shape()
         self.request(entry, 1, self._random.randint(1, shape.tokens))
         while not self._stopped:
-            shape = self._draw()
+            shape = self._draw_shape()
             self.request(entry, shape.words, shape.tokens)
 
-    def _draw(self) -> Shape:
+    def _draw_shape(self) -> RequestShape:
         weights = [shape.share for shape in self._shapes]
         return self._random.choices(self._shapes, weights)[0]
 
-    def _stream(self, entry: str, prompt: str, tokens: int) -> bool:
+    def _stream_completion(self, entry: str, prompt: str, tokens: int) -> bool:
         port = self._site.processes[entry].http_port
         body = {"model": MODEL, "prompt": prompt, "max_tokens": tokens}
         sent = time.monotonic()
         with socket.create_connection((HOST, port), _TIMEOUT_S) as sock:
-            sock.sendall(self._encode({**body, "stream": True, "seed": 1}))
-            return self._read(sock, sent, tokens, len(prompt.split()))
+            sock.sendall(
+                self._encode_request({**body, "stream": True, "seed": 1})
+            )
+            return self._read_response(sock, sent, tokens, len(prompt.split()))
 
-    def _encode(self, body: dict) -> bytes:
+    def _encode_request(self, body: dict) -> bytes:
         data = orjson.dumps(body)
         head = (
             "POST /v1/completions HTTP/1.1\r\nHost: caroblug\r\n"
@@ -181,7 +183,7 @@
         )
         return head.encode() + data
 
-    def _read(
+    def _read_response(
         self, sock: socket.socket, sent: float, tokens: int, prompt: int
     ) -> bool:
         last = sent
@@ -197,23 +199,23 @@
             now = time.monotonic()
             if count:
                 if not seen:
-                    stream = _stream_of(data)
+                    stream = _read_stream_id(data)
                     self.tally.prompts.append((now, prompt))
                 self.tally.tokens.append((now, count))
-                self.tally.gaps.append(Gap(stream, last, now, seen == 0))
+                self.tally.gaps.append(TokenGap(stream, last, now, seen == 0))
                 seen += count
                 last = now
             if _END_MARK in data:
                 return seen >= tokens
-            tail = _rest(data)
+            tail = _unfinished_event(data)
 
 
-def _stream_of(data: bytes) -> str:
+def _read_stream_id(data: bytes) -> str:
     """Returns the stream that the first event names."""
     return data.partition(_ID_MARK)[2].partition(b'"')[0].decode()
 
 
-def _rest(data: bytes) -> bytes:
+def _unfinished_event(data: bytes) -> bytes:
     """Returns the part of the last, unfinished event."""
     return data[data.rfind(b"\n\n") + 1 :][-400:]
 
@@ -244,5 +246,5 @@
     while time.monotonic() < end:
         if condition():
             return True
-        gevent.sleep(_PAUSE_S)
+        gevent.sleep(_POLL_S)
     return False
--- a/benchmarks/_open_load.py
+++ b/benchmarks/_open_load.py
@@ -10,7 +10,7 @@
 from standins.site import HOST, MODEL
 
 _TIMEOUT_S = 60.0
-_STATUS_AT = 9
+_STATUS_OFFSET = 9
 _PEEK_BYTES = 64
 _OK = b"200"
 
@@ -39,9 +39,9 @@
 
     def start_rate(self, per_s: float) -> None:
         """Starts sending `per_s` requests a second, at random moments."""
-        self._running.append(gevent.spawn(self._arrive, per_s))
+        self._running.append(gevent.spawn(self._send_at_rate, per_s))
 
-    def _arrive(self, per_s: float) -> None:
+    def _send_at_rate(self, per_s: float) -> None:
         number = 0
         due = time.monotonic()
         while not self._stopped:
@@ -49,41 +49,43 @@
             gevent.sleep(max(0.0, due - time.monotonic()))
             entry = self._entries[number % len(self._entries)]
             number += 1
-            shape = self._draw()
+            shape = self._draw_shape()
             words = [
                 f"w{self._random.randrange(10_000)}" for _ in range(shape.words)
             ]
             call = gevent.spawn(
-                self._call, entry, " ".join(words), shape.tokens
+                self._send_request, entry, " ".join(words), shape.tokens
             )
             self._running.append(call)
             if number % 100 == 0:
                 self._running = [g for g in self._running if not g.dead]
 
-    def _call(self, entry: str, prompt: str, tokens: int) -> None:
+    def _send_request(self, entry: str, prompt: str, tokens: int) -> None:
         port = self._site.processes[entry].http_port
         body = {"model": MODEL, "prompt": prompt, "max_tokens": tokens}
         body.update(stream=True, seed=1)
         sent = time.monotonic()
         try:
             with socket.create_connection((HOST, port), _TIMEOUT_S) as sock:
-                sock.sendall(self._encode(body))
+                sock.sendall(self._encode_request(body))
                 head = sock.recv(_PEEK_BYTES, socket.MSG_PEEK)
-                status = head[_STATUS_AT : _STATUS_AT + 3]
+                status = head[_STATUS_OFFSET : _STATUS_OFFSET + 3]
                 if status != _OK:
-                    self._refused(status.decode(), sent)
+                    self._record_refusal(status.decode(), sent)
                     return
-                whole = self._read(sock, sent, tokens, len(prompt.split()))
+                complete = self._read_response(
+                    sock, sent, tokens, len(prompt.split())
+                )
         except OSError:
-            whole = False
-        if whole:
+            complete = False
+        if complete:
             self.tally.answered += 1
             now = time.monotonic()
             self.refusals.served.append((now, now - sent))
         else:
             self.tally.failed += 1
 
-    def _refused(self, status: str, sent: float) -> None:
+    def _record_refusal(self, status: str, sent: float) -> None:
         now = time.monotonic()
         self.refusals.times.append((now, now - sent))
         counts = self.refusals.statuses
--- a/benchmarks/accounts.py
+++ b/benchmarks/accounts.py
@@ -30,7 +30,7 @@
 _OPEN_MS = 2000
 _REPORT_MS = 1000
 _TERM_MS = 4000
-_SPAN_MS = 8000
+_DURATION_MS = 8000
 _RULE = AccountRule(streams=64, tokens_per_minute=6_000_000.0)
 _SIZES = ((2000, 40), (18_000, 40), (18_000, 100), (18_000, 400))
 
@@ -47,11 +47,11 @@
 
     def __init__(self, nodes: int) -> None:
         names = [f"entry-{number}" for number in range(nodes)]
-        self.homes = HomeEntries(names[0], 60_000)
-        self.homes.on_listed(names, 0)
-        self.held = EntryShares(_TERM_MS)
-        self.held.on_listed(nodes)
-        self.home = HomeShares(_TERM_MS)
+        self.home_entries = HomeEntries(names[0], 60_000)
+        self.home_entries.on_listed(names, 0)
+        self.entry_shares = EntryShares(_TERM_MS)
+        self.entry_shares.on_listed(nodes)
+        self.home_shares = HomeShares(_TERM_MS)
         self.cost = _Cost()
 
     def send(self, *messages: object) -> None:
@@ -62,9 +62,11 @@
 
     def report(self, account: str, now_ms: int, wanted: int = 0) -> None:
         """Reports an account and takes the grant for it."""
-        demand = self.held.report(account, now_ms, wanted)
+        demand = self.entry_shares.report(account, now_ms, wanted)
         self.send(wire.ShareDemand(account, demand.streams, demand.used))
-        grant = self.home.on_demand("entry-0", account, demand, _RULE, now_ms)
+        grant = self.home_shares.on_demand(
+            "entry-0", account, demand, _RULE, now_ms
+        )
         self.send(
             wire.ShareGrant(
                 account,
@@ -74,45 +76,45 @@
                 grant.term_ms,
             )
         )
-        self.held.on_grant(account, grant, now_ms)
+        self.entry_shares.on_grant(account, grant, now_ms)
 
     def request(self, account: str, now_ms: int) -> bool:
         """Admits a request as the entry does."""
-        self.held.touch(account, _RULE, now_ms)
-        if not self.held.has_grant(account, now_ms):
+        self.entry_shares.touch(account, _RULE, now_ms)
+        if not self.entry_shares.has_grant(account, now_ms):
             self.report(account, now_ms, wanted=1)
-        return self.held.open_stream(account, _RULE, now_ms)
+        return self.entry_shares.open_stream(account, _RULE, now_ms)
 
 
-def _run(accounts: int, nodes: int, seed: int, everything: bool) -> _Cost:
-    source = random.Random(seed)
+def _run(accounts: int, nodes: int, seed: int, report_all: bool) -> _Cost:
+    rng = random.Random(seed)
     entry = _Entry(nodes)
     names = [f"school-{number}" for number in range(accounts)]
-    ends: list[tuple[int, str]] = []
+    open_until: list[tuple[int, str]] = []
     per_ms = _REQUESTS_PER_S / nodes / 1000
     due = 0.0
-    began = time.process_time()
-    for now_ms in range(_SPAN_MS):
+    start_s = time.process_time()
+    for now_ms in range(_DURATION_MS):
         due += per_ms
         while due >= 1:
             due -= 1
-            account = source.choice(names)
+            account = rng.choice(names)
             if entry.request(account, now_ms):
-                ends.append((now_ms + _OPEN_MS, account))
-        while ends and ends[0][0] <= now_ms:
-            entry.held.close_stream(ends.pop(0)[1])
+                open_until.append((now_ms + _OPEN_MS, account))
+        while open_until and open_until[0][0] <= now_ms:
+            entry.entry_shares.close_stream(open_until.pop(0)[1])
         if now_ms % 100 == 0:
-            for account in entry.held.due_accounts(_REPORT_MS, now_ms):
+            for account in entry.entry_shares.due_accounts(_REPORT_MS, now_ms):
                 entry.report(account, now_ms)
-            entry.home.forget_idle(now_ms)
-        if everything and now_ms % _REPORT_MS == 0:
+            entry.home_shares.forget_idle(now_ms)
+        if report_all and now_ms % _REPORT_MS == 0:
             for account in names:
                 entry.send(wire.ShareDemand(account, 0, 0.0))
-    entry.cost.seconds = time.process_time() - began
+    entry.cost.seconds = time.process_time() - start_s
     return entry.cost
 
 
-def _memory(accounts: int) -> float:
+def _measure_memory(accounts: int) -> float:
     """Returns the bytes that one homed account and its grant take."""
     tracemalloc.start()
     entry = _Entry(40)
@@ -124,16 +126,16 @@
     return (after - before) / accounts
 
 
-def _measure(seed: int, everything: bool) -> dict[str, float]:
+def _measure(seed: int, report_all: bool) -> dict[str, float]:
     figures = {}
     for accounts, nodes in _SIZES:
-        cost = _run(accounts, nodes, seed, everything)
-        seconds = _SPAN_MS / 1000
+        cost = _run(accounts, nodes, seed, report_all)
+        seconds = _DURATION_MS / 1000
         name = f"{accounts}_accounts_{nodes}_nodes"
         figures[f"bytes_per_node_s_{name}"] = cost.out_bytes / seconds
         figures[f"messages_per_node_s_{name}"] = cost.messages / seconds
         figures[f"core_share_{name}"] = cost.seconds / seconds
-    figures["memory_bytes_per_account"] = _memory(2000)
+    figures["memory_bytes_per_account"] = _measure_memory(2000)
     return figures
 
 
@@ -141,8 +143,8 @@
     """Runs both ways and prints the result."""
     seeds = tuple(int(seed) for seed in sys.argv[1:]) or _SEEDS
     figures = median_of([_measure(seed, False) for seed in seeds])
-    whole = median_of([_measure(seeds[0], True)])
-    print_result(Result("accounts", len(seeds), figures, {"all": whole}))
+    all_reported = median_of([_measure(seeds[0], True)])
+    print_result(Result("accounts", len(seeds), figures, {"all": all_reported}))
 
 
 if __name__ == "__main__":
--- a/benchmarks/bundle_spread.py
+++ b/benchmarks/bundle_spread.py
@@ -26,16 +26,16 @@
 _SIZES = (10, 50, 200)
 _CHANGES = 5
 _PER_PROCESS = 25
-_PLACES = 4
+_DATA_CENTRE_COUNT = 4
 _ACCOUNTS = 1800
 _IDLE_S = 5.0
-_BOUND_S = 60.0
+_TIMEOUT_S = 60.0
 _MS_PER_S = 1000
 _US_PER_MS = 1000
 
 
 @attrs.define
-class _Sent:
+class _Totals:
     bytes: float = 0.0
     frames: float = 0.0
     reads: float = 0.0
@@ -43,35 +43,35 @@
     links: float = 0.0
     cpu_ms: float = 0.0
 
-    def per_node(self, before: "_Sent", nodes: int) -> "_Sent":
+    def per_node(self, before: "_Totals", nodes: int) -> "_Totals":
         """Returns what one node has added since."""
-        return _Sent(
+        return _Totals(
             *(
                 (getattr(self, f.name) - getattr(before, f.name)) / nodes
-                for f in attrs.fields(_Sent)
+                for f in attrs.fields(_Totals)
             )
         )
 
 
-class _Nodes:
+class _FollowerFleet:
     """Followers in several processes."""
 
     def __init__(self, site: Site, count: int) -> None:
         self.count = count
-        self._seen: dict[int, dict[str, float]] = {}
-        self._answers: list[_Sent] = []
+        self._in_force_ms: dict[int, dict[str, float]] = {}
+        self._totals: list[_Totals] = []
         self._changed = threading.Condition()
         self._processes = []
         tables = [self._settings(site, number) for number in range(count)]
         for table in tables:
-            self._list(site, table)
+            self._list_instance(site, table)
         for first in range(0, count, _PER_PROCESS):
             self._start(tables[first : first + _PER_PROCESS])
 
     def _settings(self, site: Site, number: int) -> dict:
         return {
             "instance": f"node-{number:03d}",
-            "data_centre": f"place-{number % _PLACES}",
+            "data_centre": f"place-{number % _DATA_CENTRE_COUNT}",
             "host": HOST,
             "peer_port": site.ports.take(),
             "http_port": 0,
@@ -81,7 +81,7 @@
             "instance_list": {"host": HOST, "port": site.instance_list_port},
         }
 
-    def _list(self, site: Site, table: dict) -> None:
+    def _list_instance(self, site: Site, table: dict) -> None:
         record = {
             "instance": table["instance"],
             "role": "side",
@@ -108,42 +108,42 @@
 
     def _read(self, process: subprocess.Popen) -> None:
         for line in process.stdout:
-            words = line.split()
+            fields = line.split()
             with self._changed:
-                if words[0] == b"sent":
-                    self._answers.append(_Sent(*map(float, words[1:])))
+                if fields[0] == b"sent":
+                    self._totals.append(_Totals(*map(float, fields[1:])))
                 else:
-                    seen = self._seen.setdefault(int(words[0]), {})
-                    seen[words[1].decode()] = float(words[2])
+                    seen = self._in_force_ms.setdefault(int(fields[0]), {})
+                    seen[fields[1].decode()] = float(fields[2])
                 self._changed.notify_all()
 
-    def last_ms(self, version: int) -> float:
+    def wait_last_ms(self, version: int) -> float:
         """Returns when the last node had a version in force."""
 
         def _all() -> bool:
-            return len(self._seen.get(version, ())) == self.count
+            return len(self._in_force_ms.get(version, ())) == self.count
 
         with self._changed:
-            if not self._changed.wait_for(_all, _BOUND_S):
+            if not self._changed.wait_for(_all, _TIMEOUT_S):
                 raise TimeoutError(f"version {version} is not everywhere")
-            return max(self._seen[version].values())
+            return max(self._in_force_ms[version].values())
 
-    def sent(self) -> _Sent:
+    def read_totals(self) -> _Totals:
         """Returns what all nodes have sent so far."""
         with self._changed:
-            self._answers.clear()
+            self._totals.clear()
         for process in self._processes:
             process.stdin.write(b"bytes\n")
             process.stdin.flush()
 
         def _all() -> bool:
-            return len(self._answers) == len(self._processes)
+            return len(self._totals) == len(self._processes)
 
         with self._changed:
-            if not self._changed.wait_for(_all, _BOUND_S):
+            if not self._changed.wait_for(_all, _TIMEOUT_S):
                 raise TimeoutError("a process of nodes gave no answer")
-            rows = [attrs.astuple(a) for a in self._answers]
-        return _Sent(*(sum(column) for column in zip(*rows, strict=True)))
+            rows = [attrs.astuple(a) for a in self._totals]
+        return _Totals(*(sum(column) for column in zip(*rows, strict=True)))
 
     def close(self) -> None:
         """Ends every process."""
@@ -166,22 +166,24 @@
     )
     data = record.read_bytes()
     body = {"data": base64.b64encode(data).decode()}
-    answer = site.http(site.log_port, "POST", "/streams/caroblug.bundles", body)
-    if answer.status != 201:
-        raise RuntimeError(f"the log answered {answer.status}")
+    response = site.http(
+        site.log_port, "POST", "/streams/caroblug.bundles", body
+    )
+    if response.status != 201:
+        raise RuntimeError(f"the log answered {response.status}")
     return time.monotonic() * _MS_PER_S
 
 
-def _wait_ready(nodes: _Nodes) -> None:
-    end = time.monotonic() + _BOUND_S
-    while nodes.sent().ready < nodes.count:
+def _wait_ready(nodes: _FollowerFleet) -> None:
+    end = time.monotonic() + _TIMEOUT_S
+    while nodes.read_totals().ready < nodes.count:
         if time.monotonic() > end:
             raise TimeoutError("not all nodes are ready")
         time.sleep(0.5)
 
 
 @attrs.frozen
-class Spread:
+class SizeResult:
     """What one size gave.
 
     Attributes:
@@ -197,7 +199,7 @@
     idle_us_s: float
 
 
-def measure(count: int, changes: int) -> Spread:
+def measure(count: int, changes: int) -> SizeResult:
     """Measures one size."""
     with make_site() as site:
         site.start_platform()
@@ -205,27 +207,27 @@
             name = f"account-{number}"
             key_hash = hash_key(f"{name}:key", f"{number:016x}")
             site.bundle["client_accounts"][name] = {"key_hashes": [key_hash]}
-        nodes = _Nodes(site, count)
+        nodes = _FollowerFleet(site, count)
         try:
             _publish(site, 1)
-            nodes.last_ms(1)
+            nodes.wait_last_ms(1)
             _wait_ready(nodes)
             time.sleep(_IDLE_S)
-            first = nodes.sent()
+            first = nodes.read_totals()
             time.sleep(_IDLE_S)
-            idle = nodes.sent().per_node(first, count)
+            idle = nodes.read_totals().per_node(first, count)
             times = []
-            before, began = nodes.sent(), time.monotonic()
+            before, began = nodes.read_totals(), time.monotonic()
             for number in range(2, 2 + changes):
                 accepted_ms = _publish(site, number)
-                times.append(nodes.last_ms(number) - accepted_ms)
-            took_s = time.monotonic() - began
-            after = nodes.sent()
+                times.append(nodes.wait_last_ms(number) - accepted_ms)
+            duration_s = time.monotonic() - began
+            after = nodes.read_totals()
             change = after.per_node(before, count)
         finally:
             nodes.close()
     idle_bytes_s = idle.bytes / _IDLE_S
-    per_change = (change.bytes - idle_bytes_s * took_s) / changes
+    per_change = (change.bytes - idle_bytes_s * duration_s) / changes
     print(
         f"{count} nodes: last in force after "
         f"{[round(t) for t in times]} ms; "
@@ -237,7 +239,7 @@
         f"{after.links / count:.1f} connections per node",
         flush=True,
     )
-    return Spread(
+    return SizeResult(
         statistics.median(times),
         per_change,
         idle_bytes_s,
@@ -253,11 +255,11 @@
     options = parser.parse_args()
     figures = {}
     for count in options.sizes:
-        spread = measure(count, options.changes)
-        figures[f"p100_ms_{count}"] = round(spread.last_ms, 1)
-    figures["bytes_per_node"] = round(spread.change_bytes)
-    figures["idle_bytes_per_s"] = round(spread.idle_bytes_s, 1)
-    figures["idle_us_per_s"] = round(spread.idle_us_s)
+        result = measure(count, options.changes)
+        figures[f"p100_ms_{count}"] = round(result.last_ms, 1)
+    figures["bytes_per_node"] = round(result.change_bytes)
+    figures["idle_bytes_per_s"] = round(result.idle_bytes_s, 1)
+    figures["idle_us_per_s"] = round(result.idle_us_s)
     print_result(Result("bundle_spread", options.changes, figures))
 
 
--- a/benchmarks/fairness.py
+++ b/benchmarks/fairness.py
@@ -10,36 +10,36 @@
 import gevent
 from gevent import monkey
 
-from benchmarks._load import Shape, median_of, percentile
+from benchmarks._load import RequestShape, median_of, percentile
 from benchmarks._open_load import OpenCallers
 from benchmarks._result import Result, print_result
 from standins.site import EngineSpec, EntrySpec, Site, make_site
 
 _SEEDS = (1, 2, 3)
-_LIGHT = tuple(f"school-{number}" for number in range(6))
-_HEAVY = "heavy"
+_LIGHT_ACCOUNTS = tuple(f"school-{number}" for number in range(6))
+_HEAVY_ACCOUNT = "heavy"
 _ENTRIES = ("entry-a", "entry-b")
-_SHAPE = Shape(words=6, tokens=24)
-_POSITIONS = 30
+_SHAPE = RequestShape(words=6, tokens=24)
+_POSITIONS_PER_REQUEST = 30
 _BATCH = 16
 _STEP_MS = 40.0
 _POSITION_MS = 1.0
-_LIGHT_LOAD = 0.8
-_HEAVY_LOAD = 50.0
-_WARM_S = 2.0
-_SPAN_S = 8.0
-_STREAMS = (8, 16, 24, 32, 40, 48, 56)
+_LIGHT_LOAD_FACTOR = 0.8
+_HEAVY_LOAD_FACTOR = 50.0
+_WARM_UP_S = 2.0
+_MEASURE_S = 8.0
+_STREAMS_BY_ACCOUNT = (8, 16, 24, 32, 40, 48, 56)
 _SIDE = "side-engine-0"
 
 
-def _capacity() -> float:
+def _positions_per_s() -> float:
     """Returns positions a second of one engine."""
     return _BATCH * 1000 / (_STEP_MS + _BATCH * _POSITION_MS)
 
 
 def _start(site: Site, queue: str) -> None:
     site.start_platform()
-    for account in (*_LIGHT, _HEAVY):
+    for account in (*_LIGHT_ACCOUNTS, _HEAVY_ACCOUNT):
         site.add_account(account, streams=256)
     site.bundle["sharing"] = {"prompt_weight": 1.0}
     site.publish()
@@ -64,11 +64,13 @@
     site.wait_ready()
 
 
-def _callers(site: Site, account: str, seed: int) -> OpenCallers:
+def _make_callers(site: Site, account: str, seed: int) -> OpenCallers:
     return OpenCallers(site, account, _ENTRIES, [_SHAPE], seed)
 
 
-def _first_p95(callers: list[OpenCallers], start: float, end: float) -> float:
+def _first_token_p95_s(
+    callers: list[OpenCallers], start: float, end: float
+) -> float:
     times = [
         took
         for caller in callers
@@ -78,25 +80,27 @@
     return percentile(times, 0.95)
 
 
-def _run_light(site: Site, seed: int) -> dict[str, float]:
+def _measure_light(site: Site, seed: int) -> dict[str, float]:
     """Measures the light accounts without and with the heavy one."""
-    share = _capacity() / (len(_LIGHT) + 1) / _POSITIONS
+    share = (
+        _positions_per_s() / (len(_LIGHT_ACCOUNTS) + 1) / _POSITIONS_PER_REQUEST
+    )
     light = [
-        _callers(site, account, seed * 100 + number)
-        for number, account in enumerate(_LIGHT)
+        _make_callers(site, account, seed * 100 + number)
+        for number, account in enumerate(_LIGHT_ACCOUNTS)
     ]
-    heavy = _callers(site, _HEAVY, seed * 100 + 99)
+    heavy = _make_callers(site, _HEAVY_ACCOUNT, seed * 100 + 99)
     for caller in light:
-        caller.start_rate(share * _LIGHT_LOAD)
+        caller.start_rate(share * _LIGHT_LOAD_FACTOR)
     spans = []
     for number in range(2):
         if number:
-            heavy.start_rate(share * _HEAVY_LOAD)
-        gevent.sleep(_WARM_S)
+            heavy.start_rate(share * _HEAVY_LOAD_FACTOR)
+        gevent.sleep(_WARM_UP_S)
         start = time.monotonic()
-        gevent.sleep(_SPAN_S)
+        gevent.sleep(_MEASURE_S)
         spans.append((start, time.monotonic()))
-    before, during = (_first_p95(light, *span) for span in spans)
+    before, during = (_first_token_p95_s(light, *span) for span in spans)
     refused = sum(len(caller.refusals.times) for caller in light)
     for caller in (*light, heavy):
         caller.stop()
@@ -108,30 +112,30 @@
     }
 
 
-def _run_backlogged(site: Site, seed: int) -> dict[str, float]:
+def _measure_backlogged(site: Site, seed: int) -> dict[str, float]:
     """Measures the shares of accounts with many and few streams."""
-    accounts = (*_LIGHT, _HEAVY)
+    accounts = (*_LIGHT_ACCOUNTS, _HEAVY_ACCOUNT)
     callers = [
-        _callers(site, account, seed * 100 + number)
+        _make_callers(site, account, seed * 100 + number)
         for number, account in enumerate(accounts)
     ]
-    for caller, streams in zip(callers, _STREAMS, strict=True):
+    for caller, streams in zip(callers, _STREAMS_BY_ACCOUNT, strict=True):
         caller.start(streams)
-    gevent.sleep(_WARM_S)
-    start, before = time.monotonic(), _positions(site)
-    gevent.sleep(_SPAN_S)
-    end, after = time.monotonic(), _positions(site)
+    gevent.sleep(_WARM_UP_S)
+    start, before = time.monotonic(), _count_positions(site)
+    gevent.sleep(_MEASURE_S)
+    end, after = time.monotonic(), _count_positions(site)
     for caller in callers:
         caller.stop()
-    served = [c.tally.generated(start, end) for c in callers]
+    served = [c.tally.generated_tokens(start, end) for c in callers]
     squares = sum(tokens * tokens for tokens in served)
     return {
         "jain": sum(served) ** 2 / (len(served) * squares),
-        "utilisation": (after - before) / (end - start) / _capacity(),
+        "utilisation": (after - before) / (end - start) / _positions_per_s(),
     }
 
 
-def _positions(site: Site) -> float:
+def _count_positions(site: Site) -> float:
     return site.metric(_SIDE, "caroblug_engine_positions_total")
 
 
@@ -140,9 +144,9 @@
     for seed in seeds:
         with make_site() as site:
             _start(site, queue)
-            figures = _run_light(site, seed)
-            gevent.sleep(_WARM_S)
-            figures |= _run_backlogged(site, seed)
+            figures = _measure_light(site, seed)
+            gevent.sleep(_WARM_UP_S)
+            figures |= _measure_backlogged(site, seed)
         print(f"{queue} seed={seed} {figures}", file=sys.stderr, flush=True)
         runs.append(figures)
     return median_of(runs)
--- a/benchmarks/latency.py
+++ b/benchmarks/latency.py
@@ -14,20 +14,26 @@
 import gevent
 from gevent import monkey, pool
 
-from benchmarks._load import Callers, Gap, Shape, median_of, percentile
+from benchmarks._load import (
+    Callers,
+    RequestShape,
+    TokenGap,
+    median_of,
+    percentile,
+)
 from benchmarks._result import Result, print_result
 from standins.site import EngineSpec, EntrySpec, Site, make_site
 
 _SEEDS = (1, 2, 3)
-_SECONDS = 12.0
-_WARM_S = 3.0
-_LOAD = 0.7
+_MEASURE_S = 12.0
+_WARM_UP_S = 3.0
+_UTILISATION = 0.7
 _BATCH = 32
 _STEP_MS = 20.0
 _POSITION_MS = 0.25
 _STAGES = ((0, 8), (8, 16), (16, 24))
-_SHAPES = (Shape(4, 32, 0.8), Shape(24, 32, 0.2))
-_PLACE = "muscat-a"
+_SHAPES = (RequestShape(4, 32, 0.8), RequestShape(24, 32, 0.2))
+_DATA_CENTRE = "muscat-a"
 _ENTRY = "entry-a"
 _MS_PER_S = 1000.0
 _QUANTILES = (("p50", 0.5), ("p95", 0.95))
@@ -45,7 +51,7 @@
     """
 
     at: float
-    shape: Shape
+    shape: RequestShape
 
 
 def make_arrivals(seed: int) -> list[Arrival]:
@@ -53,17 +59,17 @@
     rng = random.Random(seed)
     capacity = _BATCH * _MS_PER_S / (_STEP_MS + _BATCH * _POSITION_MS)
     positions = sum(s.share * (s.words + s.tokens - 1) for s in _SHAPES)
-    rate = _LOAD * capacity / positions
+    rate = _UTILISATION * capacity / positions
     arrivals = []
     at = 0.0
-    while at < _WARM_S + _SECONDS:
+    while at < _WARM_UP_S + _MEASURE_S:
         at += rng.expovariate(rate)
         shape = rng.choices(_SHAPES, [s.share for s in _SHAPES])[0]
         arrivals.append(Arrival(at, shape))
     return arrivals
 
 
-def union(spans: list[Span]) -> list[Span]:
+def merge_spans(spans: list[Span]) -> list[Span]:
     """Returns the same time as spans that don't overlap, in order."""
     merged: list[Span] = []
     for start, end in sorted(spans):
@@ -74,7 +80,7 @@
     return merged
 
 
-def overlap(spans: list[Span], start: float, end: float) -> float:
+def compute_overlap(spans: list[Span], start: float, end: float) -> float:
     """Returns how much of [start, end] lies in spans in order."""
     index = max(0, bisect.bisect_left(spans, (start, start)) - 1)
     total = 0.0
@@ -85,7 +91,7 @@
     return total
 
 
-def engine_spans(site: Site) -> dict[str, list[Span]]:
+def read_engine_spans(site: Site) -> dict[str, list[Span]]:
     """Returns by stream when any engine had an item of it."""
     spans: dict[str, list[Span]] = {}
     for process in site.processes.values():
@@ -95,24 +101,27 @@
         for session, start, end in answer.json()["timings"]:
             stream = session.partition(".")[0]
             spans.setdefault(stream, []).append((start, end))
-    return {stream: union(found) for stream, found in spans.items()}
+    return {stream: merge_spans(found) for stream, found in spans.items()}
 
 
-def summarise(gaps: list[Gap], spans: dict[str, list[Span]]) -> dict:
+def summarise(gaps: list[TokenGap], spans: dict[str, list[Span]]) -> dict:
     """Returns percentiles of what was added and of the engines' own, in ms."""
     figures = {}
     for name, first in (("first_token", True), ("between_tokens", False)):
-        chosen = [gap for gap in gaps if gap.first is first]
-        own = [overlap(spans[g.stream], g.start, g.end) for g in chosen]
+        matching_gaps = [gap for gap in gaps if gap.first is first]
+        in_engines = [
+            compute_overlap(spans[g.stream], g.start, g.end)
+            for g in matching_gaps
+        ]
         added = [
-            gap.end - gap.start - inside
-            for gap, inside in zip(chosen, own, strict=True)
+            gap.end - gap.start - engine_s
+            for gap, engine_s in zip(matching_gaps, in_engines, strict=True)
         ]
         for label, share in _QUANTILES:
             added_ms = percentile(added, share) * _MS_PER_S
             figures[f"added_{name}_{label}_ms"] = added_ms
-            own_ms = percentile(own, share) * _MS_PER_S
-            figures[f"engines_{name}_{label}_ms"] = own_ms
+            in_engines_ms = percentile(in_engines, share) * _MS_PER_S
+            figures[f"engines_{name}_{label}_ms"] = in_engines_ms
     return figures
 
 
@@ -125,7 +134,7 @@
         site.start_engine(
             EngineSpec(
                 name=f"a-{number}",
-                data_centre=_PLACE,
+                data_centre=_DATA_CENTRE,
                 first_layer=first,
                 end_layer=end,
                 options=(
@@ -136,7 +145,7 @@
                 ),
             )
         )
-    site.start_entry(EntrySpec(name=_ENTRY, data_centre=_PLACE))
+    site.start_entry(EntrySpec(name=_ENTRY, data_centre=_DATA_CENTRE))
     site.wait_ready()
 
 
@@ -153,8 +162,8 @@
     running.join()
     if callers.tally.failed:
         raise AssertionError(f"{callers.tally.failed} requests failed")
-    gaps = [g for g in callers.tally.gaps if start + _WARM_S <= g.end < end]
-    figures = summarise(gaps, engine_spans(site))
+    gaps = [g for g in callers.tally.gaps if start + _WARM_UP_S <= g.end < end]
+    figures = summarise(gaps, read_engine_spans(site))
     print(f"seed {seed}: {len(gaps)} tokens, {figures}", flush=True)
     return figures
 
--- a/benchmarks/log_outage.py
+++ b/benchmarks/log_outage.py
@@ -28,7 +28,7 @@
 
 _RUNS = 3
 _OUTAGE_S = 20
-_BOUND_S = 60.0
+_TIMEOUT_S = 60.0
 _POLL_S = 0.02
 _MS_PER_S = 1000
 _KINDS = ("stream", "repeatable", "once")
@@ -38,7 +38,7 @@
 
 @attrs.define
 class _Tally:
-    asked: int = 0
+    total_requests: int = 0
     served: int = 0
 
 
@@ -60,17 +60,17 @@
         """Ends the loops."""
         self._stopped.set()
         for thread in self._threads:
-            thread.join(_BOUND_S)
+            thread.join(_TIMEOUT_S)
 
     def _loop(self, kind: str) -> None:
         while not self._stopped.is_set():
-            served = ask(self._site, kind)
-            self.tallies[kind].asked += 1
+            served = send_request(self._site, kind)
+            self.tallies[kind].total_requests += 1
             self.tallies[kind].served += served
             time.sleep(_POLL_S)
 
 
-def ask(site: Site, kind: str) -> bool:
+def send_request(site: Site, kind: str) -> bool:
     """Makes one request; returns whether it was answered."""
     try:
         if kind == "stream":
@@ -80,12 +80,12 @@
                 "max_tokens": 8,
             }
             path = "/v1/chat/completions"
-            answer = site.call("entry-a", "school-1", "POST", path, body)
+            response = site.call("entry-a", "school-1", "POST", path, body)
         else:
-            answer = _call_booking(site, kind)
+            response = _call_booking(site, kind)
     except ConnectionError:
         return False
-    return answer.status < 400
+    return response.status < 400
 
 
 def _call_booking(site: Site, kind: str) -> HttpResponse:
@@ -122,26 +122,26 @@
 
 def _normal_after_ms(site: Site, version: int, append: dict[str, str]) -> float:
     """Returns the time until all is as before the outage."""
-    began = time.monotonic()
+    start_s = time.monotonic()
     names = [
         p.name for p in site.processes.values() if p.role in ("entry", "side")
     ]
     path = f"/streams/{BUNDLE_STREAM}"
     site.http(site.log_port, "POST", path, append)
-    while not ask(site, "once"):
+    while not send_request(site, "once"):
         time.sleep(_POLL_S)
     while any(_version(site, name) < version for name in names):
         time.sleep(_POLL_S)
-        if time.monotonic() - began > _BOUND_S:
+        if time.monotonic() - start_s > _TIMEOUT_S:
             raise TimeoutError("not normal after the outage")
-    return (time.monotonic() - began) * _MS_PER_S
+    return (time.monotonic() - start_s) * _MS_PER_S
 
 
 def measure(outage_s: float) -> tuple[dict[str, float], float]:
     """Returns the share served by kind, and the time until normal."""
     with make_site() as site:
         demo.start(site)
-        if not all(ask(site, kind) for kind in _KINDS):
+        if not all(send_request(site, kind) for kind in _KINDS):
             raise RuntimeError("not all is served before the outage")
         append = _sign_next(site)
         site.control("log", {"down": True})
@@ -150,7 +150,9 @@
         callers.stop()
         site.control("log", {"down": False})
         normal_ms = _normal_after_ms(site, 2, append)
-    shares = {k: t.served / t.asked for k, t in callers.tallies.items()}
+    shares = {
+        k: t.served / t.total_requests for k, t in callers.tallies.items()
+    }
     return {**shares, "all": statistics.mean(shares.values())}, normal_ms
 
 
--- a/benchmarks/once.py
+++ b/benchmarks/once.py
@@ -31,7 +31,7 @@
 
 _RUNS = 3
 _CONCURRENCIES = (1, 10, 100)
-_WARM_S = 0.7
+_WARM_UP_S = 0.7
 _SECONDS = 2.5
 _TIMEOUT_MS = 20_000
 _PLACES = ("a", "b")
@@ -55,7 +55,7 @@
         return ordered[min(len(ordered) - 1, int(len(ordered) * share))]
 
 
-class _Bookers:
+class _BookingLoops:
     """Closed loops of bookings.
 
     Args:
@@ -78,14 +78,14 @@
             gevent.spawn(self._loop, f"entry-{_PLACES[n % 2]}")
             for n in range(concurrency)
         ]
-        gevent.sleep(_WARM_S)
+        gevent.sleep(_WARM_UP_S)
         self.tally = _Tally()
         start = time.monotonic()
         gevent.sleep(_SECONDS)
-        took = time.monotonic() - start
+        duration_s = time.monotonic() - start
         self._stopped = True
         gevent.joinall(loops)
-        return took
+        return duration_s
 
     def _loop(self, entry: str) -> None:
         port = self._site.processes[entry].http_port
@@ -97,11 +97,14 @@
                 key = f"{self._prefix}-{next(self._numbers)}"
                 headers["Idempotency-Key"] = key
             tally, start = self.tally, time.monotonic()
-            answer = client.request(
+            response = client.request(
                 "POST", "/services/booking/seats", _BODY, headers
             )
             took_ms = (time.monotonic() - start) * 1000
-            if isinstance(answer, HttpResponse) and answer.status == _CREATED:
+            if (
+                isinstance(response, HttpResponse)
+                and response.status == _CREATED
+            ):
                 tally.took_ms.append(took_ms)
             else:
                 tally.refused += 1
@@ -123,7 +126,7 @@
     site.wait_ready()
 
 
-def entries_written(site: Site) -> float:
+def count_entries(site: Site) -> float:
     """Returns intents and outcomes that the owners have appended."""
     return sum(
         site.metric(f"side-{place}", "caroblug_call_entries_total")
@@ -133,16 +136,16 @@
 
 def run(site: Site, concurrency: int, seed: int) -> tuple[dict, dict]:
     """Returns the figures with and without a key at a concurrency."""
-    plain = _Bookers(site, keyed=False, seed=seed)
+    plain = _BookingLoops(site, keyed=False, seed=seed)
     plain_s = plain.run(concurrency)
-    entries = entries_written(site)
+    entries = count_entries(site)
     appends = site.read_counters("log")["appends"]
-    begun = time.monotonic()
-    keyed = _Bookers(site, keyed=True, seed=seed)
+    keyed_start_s = time.monotonic()
+    keyed = _BookingLoops(site, keyed=True, seed=seed)
     keyed_s = keyed.run(concurrency)
-    whole_s = time.monotonic() - begun
+    keyed_total_s = time.monotonic() - keyed_start_s
     appends = site.read_counters("log")["appends"] - appends
-    entries = entries_written(site) - entries
+    entries = count_entries(site) - entries
     calls = len(keyed.tally.took_ms)
     figures = {
         f"added_p50_ms_{concurrency}": keyed.tally.quantile(0.5)
@@ -151,7 +154,7 @@
         - plain.tally.quantile(0.95),
         f"p95_ms_{concurrency}": keyed.tally.quantile(0.95),
         f"calls_per_s_per_owner_{concurrency}": calls / keyed_s / len(_PLACES),
-        f"appends_per_s_{concurrency}": appends / whole_s,
+        f"appends_per_s_{concurrency}": appends / keyed_total_s,
         f"entries_per_append_{concurrency}": entries / max(1, appends),
         f"refused_{concurrency}": keyed.tally.refused,
     }
@@ -165,7 +168,7 @@
     return figures, baseline
 
 
-def runs_per_key_max(site: Site) -> int:
+def compute_max_runs_per_key(site: Site) -> int:
     """Returns how often the services ran the key they ran most often."""
     runs: dict[str, int] = {}
     for place in _PLACES:
@@ -175,7 +178,7 @@
     return max(runs.values())
 
 
-def fold_figures() -> dict[str, float]:
+def measure_fold() -> dict[str, float]:
     """Returns memory and time of a fold of answered keys."""
     records = []
     for first in range(0, _KEYS, _KEYS_PER_BATCH):
@@ -195,17 +198,17 @@
         batch = CallBatch("side-a.0123456789ab", sequence, 0, ())
         batch = attrs.evolve(batch, entries=(*intents, *outcomes))
         records.append(encode_batch(batch))
-    took_s = _fold_all(records)
+    duration_s = _fold_all(records)
     tracemalloc.start()
     fold = IntentFold()
     for offset, data in enumerate(records):
         fold.on_record(offset, data)
-    held, _ = tracemalloc.get_traced_memory()
+    memory_bytes, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     return {
-        "memory_bytes_per_key": held / len(fold),
+        "memory_bytes_per_key": memory_bytes / len(fold),
         "log_bytes_per_key": sum(map(len, records)) / _KEYS,
-        "catch_up_us_per_key": took_s * 1e6 / _KEYS,
+        "catch_up_us_per_key": duration_s * 1e6 / _KEYS,
     }
 
 
@@ -224,20 +227,22 @@
     with make_site() as site:
         start(site)
         for seed in range(1, _RUNS + 1):
-            journalled: dict[str, float] = {}
-            direct: dict[str, float] = {}
+            with_journal: dict[str, float] = {}
+            without_journal: dict[str, float] = {}
             for concurrency in _CONCURRENCIES:
-                one, other = run(site, concurrency, seed * 1000 + concurrency)
-                journalled |= one
-                direct |= other
-            print(f"seed {seed}: {journalled} {direct}", flush=True)
-            figures.append(journalled)
-            baselines.append(direct)
-        most = runs_per_key_max(site)
+                keyed_figures, plain_figures = run(
+                    site, concurrency, seed * 1000 + concurrency
+                )
+                with_journal |= keyed_figures
+                without_journal |= plain_figures
+            print(f"seed {seed}: {with_journal} {without_journal}", flush=True)
+            figures.append(with_journal)
+            baselines.append(without_journal)
+        max_runs = compute_max_runs_per_key(site)
     result = median_of(figures)
     result["appends_per_s"] = result[f"appends_per_s_{_CONCURRENCIES[-1]}"]
-    result["runs_per_key_max"] = most
-    result |= fold_figures()
+    result["runs_per_key_max"] = max_runs
+    result |= measure_fold()
     print_result(
         Result("once", _RUNS, result, {"without_journal": median_of(baselines)})
     )
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -11,7 +11,7 @@
 import gevent
 from gevent import monkey
 
-from benchmarks._load import Shape, median_of, percentile
+from benchmarks._load import RequestShape, median_of, percentile
 from benchmarks._open_load import OpenCallers
 from benchmarks._result import Result, print_result
 from standins.site import EngineSpec, EntrySpec, Site, make_site
@@ -19,23 +19,23 @@
 _SEEDS = (1, 2, 3)
 _ACCOUNTS = tuple(f"school-{number}" for number in range(8))
 _ENTRIES = ("entry-a", "entry-b")
-_SHAPE = Shape(words=6, tokens=8)
-_POSITIONS = 14
+_SHAPE = RequestShape(words=6, tokens=8)
+_POSITIONS_PER_REQUEST = 14
 _BATCH = 16
 _STEP_MS = 40.0
 _POSITION_MS = 1.0
-_TIMES = (1, 2, 5, 10)
-_GOOD_S = 5.0
-_WARM_S = 4.0
-_SPAN_S = 10.0
+_LOAD_FACTORS = (1, 2, 5, 10)
+_GOOD_WITHIN_S = 5.0
+_WARM_UP_S = 4.0
+_MEASURE_S = 10.0
 _QUEUE_MS = 200
 _NO_LIMIT_MS = 600_000
 
 
-def _capacity() -> float:
+def _requests_per_s() -> float:
     """Returns requests a second of one engine."""
     iteration_ms = _STEP_MS + _BATCH * _POSITION_MS
-    return _BATCH * 1000 / iteration_ms / _POSITIONS
+    return _BATCH * 1000 / iteration_ms / _POSITIONS_PER_REQUEST
 
 
 def _start(site: Site, queue_ms: int, queue: str) -> None:
@@ -66,29 +66,31 @@
     site.wait_ready()
 
 
-def _offer(site: Site, times: int, seed: int) -> tuple[float, list[float]]:
+def _offer_load(
+    site: Site, load_factor: int, seed: int
+) -> tuple[float, list[float]]:
     """Returns good answers a second and the times of refusals."""
     callers = [
         OpenCallers(site, account, _ENTRIES, [_SHAPE], seed * 100 + number)
         for number, account in enumerate(_ACCOUNTS)
     ]
     for caller in callers:
-        caller.start_rate(_capacity() * times / len(callers))
-    gevent.sleep(_WARM_S)
+        caller.start_rate(_requests_per_s() * load_factor / len(callers))
+    gevent.sleep(_WARM_UP_S)
     start = time.monotonic()
-    gevent.sleep(_SPAN_S)
+    gevent.sleep(_MEASURE_S)
     end = time.monotonic()
     for caller in callers:
         caller.stop()
     good = sum(
-        start <= at < end and took <= _GOOD_S
+        start <= at < end and took <= _GOOD_WITHIN_S
         for caller in callers
         for at, took in caller.refusals.served
     )
     refusals = [
         took
         for caller in callers
-        for at, took in caller.refusals.times
+        for at, took in caller.refusals.load_factor
         if start <= at < end
     ]
     return good / (end - start), refusals
@@ -97,14 +99,14 @@
 def _run(queue_ms: int, queue: str, seed: int) -> dict[str, float]:
     goodput = {}
     refusals: list[float] = []
-    for times in _TIMES:
+    for load_factor in _LOAD_FACTORS:
         with make_site() as site:
             _start(site, queue_ms, queue)
-            goodput[times], refused = _offer(site, times, seed)
+            goodput[load_factor], refused = _offer_load(site, load_factor, seed)
             refusals += refused
     figures = {
-        f"goodput_{times}x": goodput[times] / max(goodput[1], 0.001)
-        for times in _TIMES[1:]
+        f"goodput_{load_factor}x": goodput[load_factor] / max(goodput[1], 0.001)
+        for load_factor in _LOAD_FACTORS[1:]
     }
     figures["goodput_per_s"] = goodput[1]
     if refusals:
--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -35,9 +35,9 @@
 def _median_ms(work) -> float:
     times = []
     for _ in range(_RUNS):
-        began = time.perf_counter()
+        start_s = time.perf_counter()
         work()
-        times.append((time.perf_counter() - began) * 1000)
+        times.append((time.perf_counter() - start_s) * 1000)
     return round(statistics.median(times), 2)
 
 
--- a/benchmarks/poison.py
+++ b/benchmarks/poison.py
@@ -19,13 +19,13 @@
 _SEEDS = (1, 2, 3)
 _ENTRIES = ("entry-a", "entry-b")
 _COPIES = 3
-_POISONS = 8
-_COMPANIONS = 12
+_POISON_REQUESTS = 8
+_OTHER_REQUESTS = 12
 _TOKENS = 150
 _WORD = "meteor"
 _WAIT_S = 40
-_SPREAD_S = 0.3
-_FORGET_MS = 1
+_POISON_DELAY_S = 0.3
+_SHORTEST_EXPIRE_MS = 1
 
 
 def _start(site: Site, expire_ms: int) -> None:
@@ -61,10 +61,10 @@
         "max_tokens": _TOKENS,
         "seed": 5,
     }
-    answer = site.call(entry, account, "POST", "/v1/chat/completions", body)
-    if answer.status != 200:
+    response = site.call(entry, account, "POST", "/v1/chat/completions", body)
+    if response.status != 200:
         return ""
-    return answer.json()["choices"][0]["message"]["content"]
+    return response.json()["choices"][0]["message"]["content"]
 
 
 def _expected(site: Site, text: str) -> str:
@@ -82,24 +82,24 @@
     with make_site() as site:
         _start(site, expire_ms)
         supervisor = Supervisor(site)
-        texts = [f"planet {seed} {n} rises" for n in range(_COMPANIONS)]
-        companions = [
+        texts = [f"planet {seed} {n} rises" for n in range(_OTHER_REQUESTS)]
+        other_requests = [
             gevent.spawn(_complete, site, _ENTRIES[n % 2], "school-1", text)
             for n, text in enumerate(texts)
         ]
-        gevent.sleep(_SPREAD_S)
+        gevent.sleep(_POISON_DELAY_S)
         poisons = [
             gevent.spawn(
                 _complete, site, _ENTRIES[n % 2], "poisoner", f"{_WORD} falls"
             )
-            for n in range(_POISONS)
+            for n in range(_POISON_REQUESTS)
         ]
-        gevent.joinall(poisons + companions, timeout=_WAIT_S)
+        gevent.joinall(poisons + other_requests, timeout=_WAIT_S)
         for entry in _ENTRIES:
             _complete(site, entry, "poisoner", f"{_WORD} falls")
         lost = sum(
-            companion.value != _expected(site, text)
-            for text, companion in zip(texts, companions, strict=True)
+            other_request.value != _expected(site, text)
+            for text, other_request in zip(texts, other_requests, strict=True)
         )
         supervisor.stop()
         return {"crashes": supervisor.crashes, "companions_lost": lost}
@@ -118,7 +118,7 @@
     """Runs both ways and prints the result."""
     seeds = tuple(int(seed) for seed in sys.argv[1:]) or _SEEDS
     figures = _measure("quarantine", 600_000, seeds)
-    baseline = _measure("none", _FORGET_MS, seeds)
+    baseline = _measure("none", _SHORTEST_EXPIRE_MS, seeds)
     print_result(Result("poison", len(seeds), figures, {"none": baseline}))
 
 
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -30,21 +30,21 @@
 _STREAMS = 12
 _TOKENS = 200
 _PROMPT_WORDS = 200
-_BEFORE_FAULT = 30
+_CHUNKS_BEFORE_FAULT = 30
 _ACCOUNT = "school-1"
-_BOUNDS = ((0, 8), (8, 16), (16, 24))
+_STAGE_BOUNDS = ((0, 8), (8, 16), (16, 24))
 _TARGET = "side-a-1"
-_SECOND = "side-a-2"
-_FEEDERS = ("side-a-0", "side-b-0")
-_SOON_S = 1.0
-_LEAST_GAP_S = 0.1
+_SECOND_TARGET = "side-a-2"
+_UPSTREAM_SIDES = ("side-a-0", "side-b-0")
+_GAP_START_WINDOW_S = 1.0
+_MIN_GAP_S = 0.1
 _MS_PER_S = 1000
 _FAULTS = ("crash", "freeze", "cut", "silent", "double")
-_PERCENT = 0.95
+_P95 = 0.95
 
 
 @attrs.define
-class Outcome:
+class FaultOutcome:
     """What one fault did.
 
     Attributes:
@@ -61,7 +61,7 @@
     untouched: int = 0
     wrong: int = 0
 
-    def add(self, other: "Outcome") -> None:
+    def add(self, other: "FaultOutcome") -> None:
         """Adds another fault's numbers."""
         self.recovery_ms += other.recovery_ms
         self.recomputed += other.recomputed
@@ -70,13 +70,13 @@
         self.wrong += other.wrong
 
 
-def start_site(site: Site, way: str) -> None:
+def start_site(site: Site, policy: str) -> None:
     """Starts engines of three stages, each twice, and an entry."""
     site.start_platform()
     site.add_account(_ACCOUNT, streams=1000)
     site.publish()
     for place in ("a", "b"):
-        for number, (first, end) in enumerate(_BOUNDS):
+        for number, (first, end) in enumerate(_STAGE_BOUNDS):
             name = f"{place}-{number}"
             site.start_engine(
                 EngineSpec(
@@ -85,14 +85,16 @@
                     first_layer=first,
                     end_layer=end,
                     options=("--step-ms=4",),
-                    side={"relay": f"side-{name}" in (_TARGET, *_FEEDERS)},
+                    side={
+                        "relay": f"side-{name}" in (_TARGET, *_UPSTREAM_SIDES)
+                    },
                 )
             )
     site.start_entry(
         EntrySpec(
             name="entry-a",
             data_centre="muscat-a",
-            settings={"recovery": way},
+            settings={"recovery": policy},
         )
     )
     site.wait_ready()
@@ -108,44 +110,44 @@
 
 def _cut(site: Site) -> None:
     """Cuts the target off from those who feed it, not from the entry."""
-    _order_links(site, "cut")
+    _control_links(site, "cut")
 
 
-def _order_links(site: Site, order: str) -> None:
-    for name in _FEEDERS:
+def _control_links(site: Site, order: str) -> None:
+    for name in _UPSTREAM_SIDES:
         site.control(f"relay-{_TARGET}", {order: name})
         site.control(f"relay-{name}", {order: _TARGET})
 
 
-def _silent(site: Site) -> None:
+def _silence(site: Site) -> None:
     """Silences every open connection between the target and its feeders.
 
     Either end may have dialled it, so the relays of both are told.
     """
     site.control(f"relay-{_TARGET}", {"silence": "*"})
-    for name in _FEEDERS:
+    for name in _UPSTREAM_SIDES:
         site.control(f"relay-{name}", {"silence": _TARGET})
 
 
 def _double(site: Site) -> None:
     site.processes[_TARGET].signal(signal.SIGSTOP)
-    site.processes[_SECOND].kill()
+    site.processes[_SECOND_TARGET].kill()
 
 
-_STRIKE: Mapping[str, Callable[[Site], None]] = {
+_INJECT: Mapping[str, Callable[[Site], None]] = {
     "crash": _crash,
     "freeze": _freeze,
     "cut": _cut,
-    "silent": _silent,
+    "silent": _silence,
     "double": _double,
 }
 
 
-def _heal(site: Site) -> None:
+def _repair(site: Site) -> None:
     """Makes the site whole again after a fault."""
     site.processes[_TARGET].signal(signal.SIGCONT)
-    _order_links(site, "heal")
-    for name in (_TARGET, _SECOND):
+    _control_links(site, "heal")
+    for name in (_TARGET, _SECOND_TARGET):
         if site.processes[name].popen.poll() is not None:
             site.restart(name)
     site.wait_ready()
@@ -158,9 +160,9 @@
     )
 
 
-def run_fault(site: Site, fault: str, generator: random.Random) -> Outcome:
+def run_fault(site: Site, fault: str, generator: random.Random) -> FaultOutcome:
     """Strikes a running site once and reads what happened."""
-    ran = _layers_run(site)
+    layers_before = _layers_run(site)
     callers = [
         Caller(
             site,
@@ -173,32 +175,32 @@
         for _ in range(_STREAMS)
     ]
     for caller in callers:
-        caller.wait_for_chunks(_BEFORE_FAULT)
+        caller.wait_for_chunks(_CHUNKS_BEFORE_FAULT)
     fault_s = time.monotonic()
-    _STRIKE[fault](site)
+    _INJECT[fault](site)
     for caller in callers:
         caller.join()
-    outcome = _read(site, callers, fault_s, fault)
-    _heal(site)
+    outcome = _evaluate(site, callers, fault_s, fault)
+    _repair(site)
     layers = site.bundle["models"][MODEL]["layers"]
     needed = sum(len(c.prompt_tokens()) + _TOKENS - 1 for c in callers)
-    outcome.recomputed = (_layers_run(site) - ran) / layers - needed
+    outcome.recomputed = (_layers_run(site) - layers_before) / layers - needed
     return outcome
 
 
-def _read(
+def _evaluate(
     site: Site, callers: list[Caller], fault_s: float, fault: str
-) -> Outcome:
-    lost = {_TARGET, _SECOND} if fault == "double" else {_TARGET}
+) -> FaultOutcome:
+    lost = {_TARGET, _SECOND_TARGET} if fault == "double" else {_TARGET}
     excluded = _excluded_by_stream(site)
-    outcome = Outcome()
+    outcome = FaultOutcome()
     for caller in callers:
         outcome.wrong += not caller.is_correct
-        struck = excluded.get(caller.stream, set()) & lost
+        affected = excluded.get(caller.stream, set()) & lost
         gap_ms = _gap_ms(caller, fault_s)
-        if struck or (fault == "silent" and gap_ms):
+        if affected or (fault == "silent" and gap_ms):
             outcome.recovery_ms.append(gap_ms)
-        if not struck:
+        if not affected:
             outcome.untouched += 1
             outcome.disturbed += caller.stream in excluded
     return outcome
@@ -223,9 +225,9 @@
     """
     times = [s for s in caller.arrivals if s > fault_s]
     pairs = zip([fault_s, *times], times, strict=False)
-    gaps = [p for p in pairs if p[0] - fault_s < _SOON_S]
+    gaps = [p for p in pairs if p[0] - fault_s < _GAP_START_WINDOW_S]
     begin, end = max(gaps, key=lambda pair: pair[1] - pair[0])
-    if end - begin < _LEAST_GAP_S:
+    if end - begin < _MIN_GAP_S:
         return 0.0
     return (end - fault_s) * _MS_PER_S
 
@@ -239,19 +241,19 @@
     )
 
 
-def measure(way: str) -> dict[str, float]:
+def measure(policy: str) -> dict[str, float]:
     """Returns the figures of one way of recovery."""
     p95: dict[str, list[float]] = {fault: [] for fault in _FAULTS}
-    total = Outcome()
+    total = FaultOutcome()
     for seed in _SEEDS:
         generator = random.Random(seed)
         with make_site() as site:
-            start_site(site, way)
+            start_site(site, policy)
             for fault in _FAULTS:
                 outcome = run_fault(site, fault, generator)
                 total.add(outcome)
                 p95[fault].append(_p95(outcome.recovery_ms))
-                _show(way, fault, seed, outcome)
+                _print_outcome(policy, fault, seed, outcome)
     figures = {
         f"{fault}_p95_ms": round(statistics.median(values), 1)
         for fault, values in p95.items()
@@ -265,9 +267,11 @@
     return figures
 
 
-def _show(way: str, fault: str, seed: int, outcome: Outcome) -> None:
+def _print_outcome(
+    policy: str, fault: str, seed: int, outcome: FaultOutcome
+) -> None:
     print(
-        f"{way} {fault} seed {seed}: "
+        f"{policy} {fault} seed {seed}: "
         f"{len(outcome.recovery_ms)} of {_STREAMS} struck, "
         f"p50 {_median(outcome.recovery_ms):.0f} ms, "
         f"p95 {_p95(outcome.recovery_ms):.0f} ms, "
@@ -282,7 +286,7 @@
     if not values:
         return 0.0
     ranked = sorted(values)
-    return ranked[min(len(ranked) - 1, int(_PERCENT * len(ranked)))]
+    return ranked[min(len(ranked) - 1, int(_P95 * len(ranked)))]
 
 
 def _median(values: list[float]) -> float:
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -11,25 +11,25 @@
 import gevent
 from gevent import monkey
 
-from benchmarks._load import Callers, Shape, Tally, median_of
+from benchmarks._load import Callers, RequestShape, Tally, median_of
 from benchmarks._result import Result, print_result
 from standins.site import EngineSpec, EntrySpec, Site, make_site
 
 _RUNS = 3
 _STREAMS = (64, 256)
-_WARM_S = 2.0
-_SECONDS = 4.0
+_WARM_UP_S = 2.0
+_MEASURE_S = 4.0
 _IDLE_S = 3.0
-_SHAPE = Shape(words=8, tokens=200)
+_SHAPE = RequestShape(words=8, tokens=200)
 _STAGES = ((0, 8), (8, 16), (16, 24))
-_ENGINE = ("--batch=256", "--step-ms=20", "--position-ms=0.01")
+_ENGINE_OPTIONS = ("--batch=256", "--step-ms=20", "--position-ms=0.01")
 _TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 _US_PER_S = 1e6
-_PLACE = "muscat-a"
+_DATA_CENTRE = "muscat-a"
 _ENTRY = "entry-a"
 
 
-def cpu_us(site: Site, name: str) -> float:
+def read_cpu_us(site: Site, name: str) -> float:
     """Returns the processor time that a process has used, in µs."""
     pid = site.processes[name].popen.pid
     text = pathlib.Path(f"/proc/{pid}/stat").read_text()
@@ -37,7 +37,7 @@
     return (int(fields[11]) + int(fields[12])) * _US_PER_S / _TICKS_PER_S
 
 
-def steps(site: Site, name: str) -> float:
+def count_steps(site: Site, name: str) -> float:
     """Returns the units that a side process's engine has answered."""
     return site.metric(name, "caroblug_engine_items_total")
 
@@ -51,22 +51,22 @@
         site.start_engine(
             EngineSpec(
                 name=f"a-{number}",
-                data_centre=_PLACE,
+                data_centre=_DATA_CENTRE,
                 first_layer=first,
                 end_layer=end,
-                options=_ENGINE,
+                options=_ENGINE_OPTIONS,
             )
         )
-    site.start_entry(EntrySpec(name=_ENTRY, data_centre=_PLACE))
+    site.start_entry(EntrySpec(name=_ENTRY, data_centre=_DATA_CENTRE))
     site.wait_ready()
     return [p.name for p in site.processes.values() if p.role == "side"]
 
 
-def idle_us_per_s(site: Site, names: list[str]) -> float:
+def measure_idle_us_per_s(site: Site, names: list[str]) -> float:
     """Returns the mean processor time of idle processes, in µs a second."""
-    before = sum(cpu_us(site, name) for name in names)
+    before = sum(read_cpu_us(site, name) for name in names)
     gevent.sleep(_IDLE_S)
-    after = sum(cpu_us(site, name) for name in names)
+    after = sum(read_cpu_us(site, name) for name in names)
     return (after - before) / len(names) / _IDLE_S
 
 
@@ -74,17 +74,17 @@
     """Returns the costs at a number of streams."""
     callers = Callers(site, "bench", [_ENTRY], [_SHAPE], seed)
     callers.start(streams)
-    gevent.sleep(_WARM_S)
+    gevent.sleep(_WARM_UP_S)
     callers.tally = Tally()
-    done = sum(steps(site, name) for name in sides)
-    entry = cpu_us(site, _ENTRY)
-    side = sum(cpu_us(site, name) for name in sides)
-    start_s, end_s = callers.measure(0.0, _SECONDS)
-    entry = cpu_us(site, _ENTRY) - entry
-    side = sum(cpu_us(site, name) for name in sides) - side
-    done = sum(steps(site, name) for name in sides) - done
+    done = sum(count_steps(site, name) for name in sides)
+    entry = read_cpu_us(site, _ENTRY)
+    side = sum(read_cpu_us(site, name) for name in sides)
+    start_s, end_s = callers.measure(0.0, _MEASURE_S)
+    entry = read_cpu_us(site, _ENTRY) - entry
+    side = sum(read_cpu_us(site, name) for name in sides) - side
+    done = sum(count_steps(site, name) for name in sides) - done
     callers.stop()
-    tokens = callers.tally.generated(start_s, end_s)
+    tokens = callers.tally.generated_tokens(start_s, end_s)
     return {
         "entry_us_per_token": entry / tokens,
         "side_us_per_step": side / done,
@@ -99,22 +99,23 @@
     figures = []
     with make_site() as site:
         sides = start(site, 1)
-        few_us = idle_us_per_s(site, [_ENTRY])
-        idle_side = idle_us_per_s(site, sides)
+        idle_entry_few_us = measure_idle_us_per_s(site, [_ENTRY])
+        idle_side = measure_idle_us_per_s(site, sides)
         for seed in range(1, _RUNS + 1):
-            few = run(site, sides, _STREAMS[0], seed)
-            full = run(site, sides, _STREAMS[1], seed)
-            print(f"seed {seed}: {few} {full}", flush=True)
+            few_streams = run(site, sides, _STREAMS[0], seed)
+            many_streams = run(site, sides, _STREAMS[1], seed)
+            print(f"seed {seed}: {few_streams} {many_streams}", flush=True)
             added = _STREAMS[1] - _STREAMS[0]
             figures.append(
                 {
-                    "entry_us_per_token": full["entry_us_per_token"],
-                    "side_us_per_step": full["side_us_per_step"],
-                    "tokens_per_s": full["tokens_per_s"],
-                    "entry_us_per_token_few": few["entry_us_per_token"],
-                    "side_us_per_step_few": few["side_us_per_step"],
+                    "entry_us_per_token": many_streams["entry_us_per_token"],
+                    "side_us_per_step": many_streams["side_us_per_step"],
+                    "tokens_per_s": many_streams["tokens_per_s"],
+                    "entry_us_per_token_few": few_streams["entry_us_per_token"],
+                    "side_us_per_step_few": few_streams["side_us_per_step"],
                     "slope_entry_us_per_s_per_stream": (
-                        full["entry_us_per_s"] - few["entry_us_per_s"]
+                        many_streams["entry_us_per_s"]
+                        - few_streams["entry_us_per_s"]
                     )
                     / added,
                     "idle_side_us_per_s": idle_side,
@@ -122,10 +123,12 @@
             )
     with make_site() as site:
         start(site, 3)
-        many_us = idle_us_per_s(site, [_ENTRY])
+        idle_entry_many_us = measure_idle_us_per_s(site, [_ENTRY])
     result = median_of(figures)
     engines = 2 * len(_STAGES)
-    result["slope_entry_us_per_s_per_engine"] = (many_us - few_us) / engines
+    result["slope_entry_us_per_s_per_engine"] = (
+        idle_entry_many_us - idle_entry_few_us
+    ) / engines
     print_result(Result("relay", _RUNS, result))
 
 
