--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Benchmarks; each prints one JSON object as its last line."""
+"""Benchmarks; each prints its result as one JSON object on the last line."""
--- a/benchmarks/_fleet.py
+++ b/benchmarks/_fleet.py
@@ -1,4 +1,4 @@
-"""A mixed fleet in three data centres, and its bound."""
+"""Mixed fleet of engines in three data centres and its maximum throughput."""
 
 import json
 import subprocess
@@ -31,9 +31,9 @@
     """One engine of the fleet.
 
     Attributes:
-        place: Data centre.
-        first_layer: First layer it holds.
-        end_layer: One past the last layer it holds.
+        place: Data centre of the engine.
+        first_layer: First layer that the engine holds.
+        end_layer: One past the last layer.
         tokens_per_s: Positions per second in full batches.
     """
 
@@ -61,10 +61,10 @@
 
 
 class LinkedSite(Site):
-    """A site whose programs speak over emulated links.
+    """Site whose programs communicate over emulated links.
 
     Attributes:
-        links: (latency in ms, bytes a second) by data centre.
+        links: (latency in ms, bytes per second) by data centre.
     """
 
     links: Mapping[str, tuple[float, float]]
@@ -84,12 +84,12 @@
 
 
 def make_healthy_links() -> dict[str, tuple[float, float]]:
-    """Returns the links as they are on a good day."""
+    """Returns the undegraded links by data centre."""
     return dict.fromkeys(PLACES, (LINK_MS, 0.0))
 
 
 def make_degraded_links() -> dict[str, tuple[float, float]]:
-    """Returns the links with one data centre's a hundred times as slow."""
+    """Returns the links with a hundredfold latency in one data centre."""
     links = make_healthy_links()
     links[PLACES[-1]] = (LINK_MS * DEGRADATION, 0.0)
     return links
@@ -120,7 +120,15 @@
 
 
 def start_entries(site: Site, chooser: str) -> list[str]:
-    """Starts an entry in each data centre and returns their names."""
+    """Starts an entry in each data centre.
+
+    Args:
+        site: The running site.
+        chooser: Policy by which the entries choose chains.
+
+    Returns:
+        The names of the entries.
+    """
     names = []
     for place in PLACES:
         name = f"entry-{chooser}-{place[-1]}".replace("_", "-")
@@ -134,7 +142,7 @@
 
 
 def stop_entries(site: Site, names: Sequence[str]) -> None:
-    """Stops entries and takes them off the list."""
+    """Stops entries and removes them from the instance list."""
     for name in names:
         process = site.processes[name]
         process.popen.terminate()
@@ -147,7 +155,7 @@
 
 
 def compute_max_positions_per_s() -> float:
-    """Returns the most positions a second that the fleet can run."""
+    """Returns the maximum positions per second that the fleet can run."""
     views = [
         EngineView(
             f"e{number}",
--- a/benchmarks/_load.py
+++ b/benchmarks/_load.py
@@ -1,4 +1,4 @@
-"""Callers for benchmarks: closed loops of streamed completions."""
+"""Closed-loop load generator of streamed completions."""
 
 import collections
 import random
@@ -24,9 +24,9 @@
     """One kind of request.
 
     Attributes:
-        words: Words of the prompt.
-        tokens: Tokens to generate.
-        share: How often it comes, relative to the other kinds.
+        words: Number of words in the prompt.
+        tokens: Number of tokens to generate.
+        share: Relative frequency of this kind.
     """
 
     words: int
@@ -36,13 +36,13 @@
 
 @attrs.frozen
 class TokenGap:
-    """A caller's wait for its next token.
+    """Time that a client waited for its next token.
 
     Attributes:
-        stream: The stream, as the answer names it.
-        start: When the request was sent or the token before came.
-        end: When the token came.
-        first: Whether it was the first.
+        stream: Identifier of the stream in the response.
+        start: Time of the request or of the previous token.
+        end: Arrival of the token.
+        first: Whether the token was the first one.
     """
 
     stream: str
@@ -53,14 +53,14 @@
 
 @attrs.define
 class Tally:
-    """What the callers saw, all times in seconds of one clock.
+    """Measurements of the clients; times are monotonic, in seconds.
 
     Attributes:
-        tokens: How many tokens came, with when.
+        tokens: Arrival times, each with a number of tokens.
         gaps: Every wait for a token.
-        prompts: Length of each prompt, with when its first token came.
-        failed: Streams without a whole answer.
-        answered: Streams with a whole answer.
+        prompts: Arrival of each stream's first token, with the prompt length.
+        failed: Number of streams without a complete response.
+        answered: Number of streams with a complete response.
     """
 
     tokens: list[tuple[float, int]] = attrs.field(factory=list)
@@ -70,14 +70,18 @@
     answered: int = 0
 
     def generated_tokens(self, start: float, end: float) -> int:
-        """Returns the tokens that came in a span of time."""
+        """Returns the number of tokens that arrived in a time span."""
         return sum(n for at, n in self.tokens if start <= at < end)
 
     def generated_share(self, start: float, end: float) -> float:
-        """Returns generated tokens per position that engines had to run.
+        """Returns the share of generated tokens in the positions run.
 
-        A prompt counts when its first token comes; that token is the answer
-        to its last position, which is not run twice.
+        A prompt counts when its first token arrives. That token results from
+        the prompt's last position, which therefore counts once.
+
+        Args:
+            start: Start of the time span.
+            end: End of the time span.
         """
         tokens = self.generated_tokens(start, end)
         in_span = [n for at, n in self.prompts if start <= at < end]
@@ -85,14 +89,17 @@
 
 
 class Callers:
-    """Callers that each send the next request when an answer has ended.
+    """Clients that each send the next request when a response has ended.
 
     Args:
         site: The running site.
-        account: Whose key they use.
-        entries: Entries, taken in turn.
+        account: The client account of all requests.
+        entries: Names of the entries, used round-robin.
         shapes: Kinds of requests.
         seed: Seed of the mix and of the prompts.
+
+    Attributes:
+        tally: Measurements so far.
     """
 
     def __init__(
@@ -113,26 +120,40 @@
         self._stopped = False
 
     def start(self, streams: int) -> None:
-        """Starts closed loops."""
+        """Starts a number of closed loops."""
         for number in range(streams):
             entry = self._entries[number % len(self._entries)]
             self._running.append(gevent.spawn(self._run_loop, entry))
 
     def stop(self) -> None:
-        """Ends every loop, also in the middle of an answer."""
+        """Ends every loop, also in the middle of a response."""
         self._stopped = True
         gevent.killall(self._running)
         self._running.clear()
 
     def measure(self, warm_s: float, seconds: float) -> tuple[float, float]:
-        """Lets the loops run and returns the measured span."""
+        """Waits while the loops run.
+
+        Args:
+            warm_s: Time before the measurement.
+            seconds: Duration of the measurement.
+
+        Returns:
+            Start and end of the measurement.
+        """
         gevent.sleep(warm_s)
         start = time.monotonic()
         gevent.sleep(seconds)
         return start, time.monotonic()
 
     def request(self, entry: str, words: int, tokens: int) -> None:
-        """Sends one request and reads its answer to the end."""
+        """Sends one request and reads its whole response.
+
+        Args:
+            entry: Name of the entry.
+            words: Number of words in the prompt.
+            tokens: Number of tokens to generate.
+        """
         prompt = " ".join(
             f"w{self._random.randrange(10_000)}" for _ in range(words)
         )
@@ -149,9 +170,9 @@
     def _run_loop(self, entry: str) -> None:
         """Sends one request after the other.
 
-        The first is the rest of one, with a prompt of one word and its tokens
-        cut at random: the loops don't run in step, and the run does not begin
-        with every prompt at once.
+        The first request has a prompt of one word and a random number of
+        tokens. This desynchronises the loops and avoids that all prompts
+        arrive together at the start.
         """
         shape = self._draw_shape()
         self.request(entry, 1, self._random.randint(1, shape.tokens))
@@ -211,17 +232,17 @@
 
 
 def _read_stream_id(data: bytes) -> str:
-    """Returns the stream that the first event names."""
+    """Returns the stream identifier in the first event."""
     return data.partition(_ID_MARK)[2].partition(b'"')[0].decode()
 
 
 def _unfinished_event(data: bytes) -> bytes:
-    """Returns the part of the last, unfinished event."""
+    """Returns the received part of the last, incomplete event."""
     return data[data.rfind(b"\n\n") + 1 :][-400:]
 
 
 def percentile(values: Sequence[float], share: float) -> float:
-    """Returns the value below which a share of the values lie."""
+    """Returns the value below which a share of the values lies."""
     ordered = sorted(values)
     return ordered[min(len(ordered) - 1, int(share * len(ordered)))]
 
@@ -241,7 +262,7 @@
 
 
 def wait_until(condition: Callable[[], bool], seconds: float) -> bool:
-    """Polls a condition; returns whether it came to hold in time."""
+    """Polls a condition and returns whether it held before the timeout."""
     end = time.monotonic() + seconds
     while time.monotonic() < end:
         if condition():
--- a/benchmarks/_open_load.py
+++ b/benchmarks/_open_load.py
@@ -1,4 +1,4 @@
-"""Callers whose requests come at a rate, whatever becomes of them."""
+"""Open-loop load generator with Poisson arrivals."""
 
 import time
 
@@ -17,12 +17,12 @@
 
 @attrs.define
 class Refusals:
-    """Requests that were refused.
+    """Latencies of refused and served requests, in seconds.
 
     Attributes:
-        times: Seconds that each refusal took, with when it came.
-        statuses: How often each HTTP status came.
-        served: Seconds that each whole answer took, with when it ended.
+        times: Arrival and latency of each refusal.
+        statuses: Number of refusals by HTTP status.
+        served: End and latency of each complete response.
     """
 
     times: list[tuple[float, float]] = attrs.field(factory=list)
@@ -31,14 +31,14 @@
 
 
 class OpenCallers(Callers):
-    """Callers that send at a rate, each request by the next entry."""
+    """Clients that send requests at a rate, round-robin over the entries."""
 
     def __init__(self, *args, **options) -> None:
         super().__init__(*args, **options)
         self.refusals = Refusals()
 
     def start_rate(self, per_s: float) -> None:
-        """Starts sending `per_s` requests a second, at random moments."""
+        """Starts to send `per_s` requests per second on average."""
         self._running.append(gevent.spawn(self._send_at_rate, per_s))
 
     def _send_at_rate(self, per_s: float) -> None:
--- a/benchmarks/_result.py
+++ b/benchmarks/_result.py
@@ -1,4 +1,4 @@
-"""The last line of a benchmark."""
+"""Result of a benchmark, printed as its last line."""
 
 import subprocess
 from collections.abc import Mapping
@@ -11,13 +11,13 @@
 
 @attrs.frozen
 class Result:
-    """What a benchmark measured.
+    """Measured figures of a benchmark.
 
     Attributes:
         name: Name of the benchmark.
-        runs: How many runs the figures are medians of.
+        runs: Number of runs; the figures are their medians.
         figures: Measured values by name.
-        baselines: The same figures for each other way.
+        baselines: Figures of each alternative by its name.
     """
 
     name: str
@@ -39,7 +39,7 @@
 
 
 def commit() -> str:
-    """Returns the commit that is checked out, marked if it was changed."""
+    """Returns the checked-out commit, marked `-dirty` if files changed."""
     command = ["git", "describe", "--always", "--dirty"]
     found = subprocess.run(command, capture_output=True, text=True, check=False)
     return found.stdout.strip() or "unknown"
--- a/benchmarks/accounts.py
+++ b/benchmarks/accounts.py
@@ -1,10 +1,10 @@
-"""What sharing costs by the number of accounts and of nodes.
+"""Cost of sharing limits over the number of accounts and of nodes.
 
 Run with `python -m benchmarks.accounts`. The cores run in one process with a
-clock of their own; messages are encoded as they would be sent. Each entry has
-the load that an even balancer gives it: 6,200 requests a second in all, each
-open for two seconds, the accounts drawn at random. The baseline reports every
-account of the bundle at each interval, active or not.
+simulated clock, and messages are encoded as they would be sent. One entry
+gets its even share of 6,200 requests per second, each open for two seconds,
+with random accounts. The baseline reports every account of the bundle at each
+interval, active or not.
 """
 
 import random
@@ -43,7 +43,7 @@
 
 
 class _Entry:
-    """One entry, with the homes that it would report to."""
+    """One entry together with the shares that its home entries hold."""
 
     def __init__(self, nodes: int) -> None:
         names = [f"entry-{number}" for number in range(nodes)]
@@ -55,13 +55,13 @@
         self.cost = _Cost()
 
     def send(self, *messages: object) -> None:
-        """Counts messages as bytes of thrift compact."""
+        """Adds the encoded size of messages to the cost."""
         for message in messages:
             self.cost.out_bytes += len(framing.encode(message))
             self.cost.messages += 1
 
     def report(self, account: str, now_ms: int, wanted: int = 0) -> None:
-        """Reports an account and takes the grant for it."""
+        """Reports the demand of an account and applies the grant."""
         demand = self.entry_shares.report(account, now_ms, wanted)
         self.send(wire.ShareDemand(account, demand.streams, demand.used))
         grant = self.home_shares.on_demand(
@@ -79,7 +79,7 @@
         self.entry_shares.on_grant(account, grant, now_ms)
 
     def request(self, account: str, now_ms: int) -> bool:
-        """Admits a request as the entry does."""
+        """Admits a request as an entry does; returns whether it fits."""
         self.entry_shares.touch(account, _RULE, now_ms)
         if not self.entry_shares.has_grant(account, now_ms):
             self.report(account, now_ms, wanted=1)
@@ -115,7 +115,7 @@
 
 
 def _measure_memory(accounts: int) -> float:
-    """Returns the bytes that one homed account and its grant take."""
+    """Returns the memory in bytes of one account and its grant."""
     tracemalloc.start()
     entry = _Entry(40)
     before = tracemalloc.get_traced_memory()[0]
@@ -140,7 +140,7 @@
 
 
 def main() -> None:
-    """Runs both ways and prints the result."""
+    """Measures both variants and prints the result."""
     seeds = tuple(int(seed) for seed in sys.argv[1:]) or _SEEDS
     figures = median_of([_measure(seed, False) for seed in seeds])
     all_reported = median_of([_measure(seeds[0], True)])
--- a/benchmarks/bundle_spread.py
+++ b/benchmarks/bundle_spread.py
@@ -1,10 +1,11 @@
-"""From the log's acceptance of a bundle to its being in force everywhere.
+"""Time from the log's acceptance of a bundle until all instances apply it.
 
-Real followers over real sockets, up to 25 in a process; the log service and
+Up to 25 followers run in a process, over real sockets. The log service and
 the instance list are stand-ins. `p100_ms_N` is the time to the last of N
-instances, the median over the changes; `bytes_per_node` is what an instance
-sends for one change among 200, idle traffic taken off. Lines before the last
-give messages, log reads and idle traffic.
+instances, as the median over the changes. `bytes_per_node` is the data that
+an instance sends for one change, without idle traffic, at the last size (200
+by default). The lines before the result show messages, log reads and idle
+traffic.
 """
 
 import argparse
@@ -44,7 +45,7 @@
     cpu_ms: float = 0.0
 
     def per_node(self, before: "_Totals", nodes: int) -> "_Totals":
-        """Returns what one node has added since."""
+        """Returns the mean increase per node since earlier totals."""
         return _Totals(
             *(
                 (getattr(self, f.name) - getattr(before, f.name)) / nodes
@@ -54,7 +55,7 @@
 
 
 class _FollowerFleet:
-    """Followers in several processes."""
+    """Followers of the bundles in several processes."""
 
     def __init__(self, site: Site, count: int) -> None:
         self.count = count
@@ -118,18 +119,20 @@
                 self._changed.notify_all()
 
     def wait_last_ms(self, version: int) -> float:
-        """Returns when the last node had a version in force."""
+        """Waits until every node applied a version; returns the last time."""
 
         def _all() -> bool:
             return len(self._in_force_ms.get(version, ())) == self.count
 
         with self._changed:
             if not self._changed.wait_for(_all, _TIMEOUT_S):
-                raise TimeoutError(f"version {version} is not everywhere")
+                raise TimeoutError(
+                    f"version {version} is not in force everywhere"
+                )
             return max(self._in_force_ms[version].values())
 
     def read_totals(self) -> _Totals:
-        """Returns what all nodes have sent so far."""
+        """Returns the totals over all nodes so far."""
         with self._changed:
             self._totals.clear()
         for process in self._processes:
@@ -141,7 +144,7 @@
 
         with self._changed:
             if not self._changed.wait_for(_all, _TIMEOUT_S):
-                raise TimeoutError("a process of nodes gave no answer")
+                raise TimeoutError("a follower process did not respond")
             rows = [attrs.astuple(a) for a in self._totals]
         return _Totals(*(sum(column) for column in zip(*rows, strict=True)))
 
@@ -153,7 +156,7 @@
 
 
 def _publish(site: Site, number: int) -> float:
-    """Publishes one changed account; returns when the log had taken it."""
+    """Publishes a change of one account; returns when the log accepted it."""
     rules = site.bundle["client_accounts"]
     rules["account-7"]["streams"] = number
     path = site.folder / "bundle.toml"
@@ -170,7 +173,7 @@
         site.log_port, "POST", "/streams/caroblug.bundles", body
     )
     if response.status != 201:
-        raise RuntimeError(f"the log answered {response.status}")
+        raise RuntimeError(f"log append failed: status {response.status}")
     return time.monotonic() * _MS_PER_S
 
 
@@ -184,13 +187,13 @@
 
 @attrs.frozen
 class SizeResult:
-    """What one size gave.
+    """Figures of one number of nodes.
 
     Attributes:
         last_ms: Median time to the last node.
-        change_bytes: Sent by a node for one change.
-        idle_bytes_s: Sent by a node in a second without a change.
-        idle_us_s: Processor time of a node in a second without a change.
+        change_bytes: Bytes that a node sends for one change.
+        idle_bytes_s: Bytes that an idle node sends per second.
+        idle_us_s: Processor time of an idle node, in µs per second.
     """
 
     last_ms: float
@@ -200,7 +203,7 @@
 
 
 def measure(count: int, changes: int) -> SizeResult:
-    """Measures one size."""
+    """Measures a number of changes with a number of nodes."""
     with make_site() as site:
         site.start_platform()
         for number in range(_ACCOUNTS):
@@ -248,7 +251,7 @@
 
 
 def main() -> None:
-    """Measures all sizes."""
+    """Measures all sizes and prints the result."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--sizes", type=int, nargs="+", default=_SIZES)
     parser.add_argument("--changes", type=int, default=_CHANGES)
--- a/benchmarks/fairness.py
+++ b/benchmarks/fairness.py
@@ -1,7 +1,7 @@
-"""Light client accounts beside one that asks for 50 times its share.
+"""Fairness between light accounts and one that requests 50 times its share.
 
-Run with `python -m benchmarks.fairness`. The same load is put on sides whose
-queue is fair and, as a baseline, first come first served.
+Run with `python -m benchmarks.fairness`. The same load runs against side
+processes with a fair queue and, as a baseline, with a FIFO queue.
 """
 
 import sys
@@ -33,7 +33,7 @@
 
 
 def _positions_per_s() -> float:
-    """Returns positions a second of one engine."""
+    """Returns the positions per second of one engine in full batches."""
     return _BATCH * 1000 / (_STEP_MS + _BATCH * _POSITION_MS)
 
 
@@ -81,7 +81,7 @@
 
 
 def _measure_light(site: Site, seed: int) -> dict[str, float]:
-    """Measures the light accounts without and with the heavy one."""
+    """Measures the light accounts without and with the heavy account."""
     share = (
         _positions_per_s() / (len(_LIGHT_ACCOUNTS) + 1) / _POSITIONS_PER_REQUEST
     )
@@ -113,7 +113,7 @@
 
 
 def _measure_backlogged(site: Site, seed: int) -> dict[str, float]:
-    """Measures the shares of accounts with many and few streams."""
+    """Measures the throughput shares of accounts with unequal stream counts."""
     accounts = (*_LIGHT_ACCOUNTS, _HEAVY_ACCOUNT)
     callers = [
         _make_callers(site, account, seed * 100 + number)
@@ -153,7 +153,7 @@
 
 
 def main() -> None:
-    """Runs both ways and prints the result."""
+    """Measures both queues and prints the result."""
     seeds = tuple(int(seed) for seed in sys.argv[1:]) or _SEEDS
     fair = _measure("fair", seeds)
     fifo = _measure("fifo", seeds)
--- a/benchmarks/latency.py
+++ b/benchmarks/latency.py
@@ -1,9 +1,9 @@
-"""What caroblug adds to the first token and between tokens at 70% load.
+"""Latency that caroblug adds to the tokens of a stream at 70% load.
 
-Engines note when each item was with them. A caller's wait for a token, less
-the time in which any engine had an item of its stream, is what everything
-else added: HTTP on both sides, side processes, entry, and queues before the
-engine. All processes are on one machine and read one clock.
+Engines record the arrival and end of each item. The added latency is a
+client's wait for a token minus the time in which any engine had an item of
+that stream. It covers HTTP on both sides, the side processes, the entry and
+the queues before the engine. All processes read the clock of one machine.
 """
 
 import bisect
@@ -43,11 +43,11 @@
 
 @attrs.frozen
 class Arrival:
-    """One request.
+    """Arrival of one request.
 
     Attributes:
-        at: When it comes, in seconds from the start.
-        shape: Its kind.
+        at: Time of the arrival, in seconds from the start.
+        shape: Kind of the request.
     """
 
     at: float
@@ -55,7 +55,7 @@
 
 
 def make_arrivals(seed: int) -> list[Arrival]:
-    """Returns Poisson arrivals at the load."""
+    """Returns Poisson arrivals at the target utilisation."""
     rng = random.Random(seed)
     capacity = _BATCH * _MS_PER_S / (_STEP_MS + _BATCH * _POSITION_MS)
     positions = sum(s.share * (s.words + s.tokens - 1) for s in _SHAPES)
@@ -70,7 +70,7 @@
 
 
 def merge_spans(spans: list[Span]) -> list[Span]:
-    """Returns the same time as spans that don't overlap, in order."""
+    """Merges overlapping spans and returns them in order of time."""
     merged: list[Span] = []
     for start, end in sorted(spans):
         if merged and start <= merged[-1][1]:
@@ -81,7 +81,7 @@
 
 
 def compute_overlap(spans: list[Span], start: float, end: float) -> float:
-    """Returns how much of [start, end] lies in spans in order."""
+    """Returns how much of [start, end] is covered by disjoint, sorted spans."""
     index = max(0, bisect.bisect_left(spans, (start, start)) - 1)
     total = 0.0
     while index < len(spans) and spans[index][0] < end:
@@ -92,7 +92,7 @@
 
 
 def read_engine_spans(site: Site) -> dict[str, list[Span]]:
-    """Returns by stream when any engine had an item of it."""
+    """Returns the spans in which any engine had an item, by stream."""
     spans: dict[str, list[Span]] = {}
     for process in site.processes.values():
         if process.role != "engine":
@@ -105,7 +105,7 @@
 
 
 def summarise(gaps: list[TokenGap], spans: dict[str, list[Span]]) -> dict:
-    """Returns percentiles of what was added and of the engines' own, in ms."""
+    """Returns percentiles of the added and of the engines' latency, in ms."""
     figures = {}
     for name, first in (("first_token", True), ("between_tokens", False)):
         matching_gaps = [gap for gap in gaps if gap.first is first]
@@ -126,7 +126,7 @@
 
 
 def start_site(site: Site) -> None:
-    """Starts three engines in a row and an entry."""
+    """Starts a chain of three engines and an entry."""
     site.start_platform()
     site.add_account("bench", streams=100_000)
     site.publish()
--- a/benchmarks/log_outage.py
+++ b/benchmarks/log_outage.py
@@ -1,13 +1,14 @@
-"""What is served while the log is down, and how long until all is normal.
-
-Over real processes, one client account in closed loops: streamed
-completions, calls that may be repeated, and calls with a key that may not.
-`served_share` is the mean of the three kinds' shares answered while the log
-is down: a refusal comes at once, so that a common share would count speed;
-`normal_after_ms` is the time from the log's return until a call that may not
-be repeated is answered and a bundle published at once is in force
-everywhere. The outage lasts 20 s by default, not the 60 s of the aim, so
-that three runs stay short; `--outage-s 60` gives the whole.
+"""Availability during an outage of the log, and the time to recover from it.
+
+One client account sends three kinds of requests in closed loops over real
+processes: completions, calls that may be repeated, and calls with a key, which
+may not. `served_share` is the mean of the shares of each kind that succeed
+during the outage. It is not the share over all requests, because refusals are
+fast and would weight a kind by its speed. `normal_after_ms` is the time from
+the end of the outage until a call with a key succeeds and all instances apply
+a bundle that was published right after the outage. The outage lasts 20 s by
+default instead of the target's 60 s, so that three runs stay short;
+`--outage-s 60` runs the full duration.
 """
 
 import argparse
@@ -43,7 +44,7 @@
 
 
 class _Callers:
-    """One closed loop for each kind of request."""
+    """Closed loops, one for each kind of request."""
 
     def __init__(self, site: Site) -> None:
         self._site = site
@@ -71,7 +72,7 @@
 
 
 def send_request(site: Site, kind: str) -> bool:
-    """Makes one request; returns whether it was answered."""
+    """Sends one request and returns whether it succeeded."""
     try:
         if kind == "stream":
             body = {
@@ -97,7 +98,7 @@
 
 
 def _sign_next(site: Site) -> dict[str, str]:
-    """Signs a new version; returns the log's append of it."""
+    """Signs a new bundle version; returns the body of its append request."""
     path = site.folder / "next.toml"
     record = site.folder / "next.record"
     site.bundle["limits"]["max_tokens"] = 99
@@ -121,7 +122,17 @@
 
 
 def _normal_after_ms(site: Site, version: int, append: dict[str, str]) -> float:
-    """Returns the time until all is as before the outage."""
+    """Publishes a bundle after the outage and waits for normal service.
+
+    Args:
+        site: The running site.
+        version: Version of the bundle.
+        append: Body of the append request.
+
+    Returns:
+        The time until a call with a key succeeds and all instances apply the
+        bundle, in ms.
+    """
     start_s = time.monotonic()
     names = [
         p.name for p in site.processes.values() if p.role in ("entry", "side")
@@ -133,16 +144,24 @@
     while any(_version(site, name) < version for name in names):
         time.sleep(_POLL_S)
         if time.monotonic() - start_s > _TIMEOUT_S:
-            raise TimeoutError("not normal after the outage")
+            raise TimeoutError("not all instances have the new bundle version")
     return (time.monotonic() - start_s) * _MS_PER_S
 
 
 def measure(outage_s: float) -> tuple[dict[str, float], float]:
-    """Returns the share served by kind, and the time until normal."""
+    """Measures one outage.
+
+    Args:
+        outage_s: Duration of the outage.
+
+    Returns:
+        The share of successful requests by kind, with their mean as `all`,
+        and the time until normal service in ms.
+    """
     with make_site() as site:
         demo.start(site)
         if not all(send_request(site, kind) for kind in _KINDS):
-            raise RuntimeError("not all is served before the outage")
+            raise RuntimeError("a request failed before the outage")
         append = _sign_next(site)
         site.control("log", {"down": True})
         callers = _Callers(site)
@@ -157,7 +176,7 @@
 
 
 def main() -> None:
-    """Measures several outages."""
+    """Measures several outages and prints the result."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--runs", type=int, default=_RUNS)
     parser.add_argument("--outage-s", type=float, default=_OUTAGE_S)
--- a/benchmarks/once.py
+++ b/benchmarks/once.py
@@ -1,8 +1,9 @@
-"""What it costs to run a call at most once.
+"""Cost of at-most-once calls.
 
-Closed loops of bookings over two entries and two owners: with an
-`Idempotency-Key` (intent and outcome on the log), and without one (passed on
-once, nothing kept). The latency added is the difference of the two p95.
+Closed loops send bookings over two entries and two owners, with an
+`Idempotency-Key` (intent and outcome are logged) and without one (the call is
+forwarded once and nothing is logged). The added latencies are the differences
+of the p50 and of the p95.
 """
 
 import itertools
@@ -44,7 +45,7 @@
 
 @attrs.define
 class _Tally:
-    """Latencies of answered calls, in ms, and calls that were refused."""
+    """Latencies of successful calls, in ms, and the number of other calls."""
 
     took_ms: list[float] = attrs.field(factory=list)
     refused: int = 0
@@ -73,7 +74,7 @@
         self._stopped = False
 
     def run(self, concurrency: int) -> float:
-        """Runs the loops and returns the measured seconds."""
+        """Runs a number of loops; returns the measured time in seconds."""
         loops = [
             gevent.spawn(self._loop, f"entry-{_PLACES[n % 2]}")
             for n in range(concurrency)
@@ -112,7 +113,7 @@
 
 
 def start(site: Site) -> None:
-    """Starts two entries and two owners."""
+    """Starts two entries and two plain services with their sides."""
     site.start_platform()
     site.add_account(_ACCOUNT)
     site.bundle["services"]["booking"] = {"timeout_ms": _TIMEOUT_MS}
@@ -127,7 +128,7 @@
 
 
 def count_entries(site: Site) -> float:
-    """Returns intents and outcomes that the owners have appended."""
+    """Returns the number of intents and outcomes that owners have appended."""
     return sum(
         site.metric(f"side-{place}", "caroblug_call_entries_total")
         for place in _PLACES
@@ -135,7 +136,16 @@
 
 
 def run(site: Site, concurrency: int, seed: int) -> tuple[dict, dict]:
-    """Returns the figures with and without a key at a concurrency."""
+    """Measures calls with and without a key.
+
+    Args:
+        site: The running site.
+        concurrency: Number of closed loops.
+        seed: Seed of the keys.
+
+    Returns:
+        The figures with a key and those without one.
+    """
     plain = _BookingLoops(site, keyed=False, seed=seed)
     plain_s = plain.run(concurrency)
     entries = count_entries(site)
@@ -169,7 +179,7 @@
 
 
 def compute_max_runs_per_key(site: Site) -> int:
-    """Returns how often the services ran the key they ran most often."""
+    """Returns the highest number of runs of any key."""
     runs: dict[str, int] = {}
     for place in _PLACES:
         for key, count in site.read_counters(f"plain-{place}")["runs"].items():
@@ -179,7 +189,7 @@
 
 
 def measure_fold() -> dict[str, float]:
-    """Returns memory and time of a fold of answered keys."""
+    """Returns the memory and time that a fold of answered keys takes."""
     records = []
     for first in range(0, _KEYS, _KEYS_PER_BATCH):
         intents = [
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -1,8 +1,8 @@
-"""Goodput as more is offered than the engines can serve.
+"""Goodput under a load beyond the capacity of the engines.
 
-Run with `python -m benchmarks.overload`. The baseline admits everything: its
-bundle's `queue_ms` is so long that no request is refused for load, and its
-sides' queue is first come first served.
+Run with `python -m benchmarks.overload`. The baseline admits all requests:
+`queue_ms` in its bundle is so long that no request is refused for load, and
+the queue of its side processes is FIFO.
 """
 
 import sys
@@ -33,7 +33,7 @@
 
 
 def _requests_per_s() -> float:
-    """Returns requests a second of one engine."""
+    """Returns the requests per second that one engine can serve."""
     iteration_ms = _STEP_MS + _BATCH * _POSITION_MS
     return _BATCH * 1000 / iteration_ms / _POSITIONS_PER_REQUEST
 
@@ -69,7 +69,17 @@
 def _offer_load(
     site: Site, load_factor: int, seed: int
 ) -> tuple[float, list[float]]:
-    """Returns good answers a second and the times of refusals."""
+    """Offers a multiple of the engines' capacity.
+
+    Args:
+        site: The running site.
+        load_factor: Offered load relative to the capacity.
+        seed: Seed of the requests.
+
+    Returns:
+        Responses per second within the latency goal, and the latencies of
+        refusals in seconds.
+    """
     callers = [
         OpenCallers(site, account, _ENTRIES, [_SHAPE], seed * 100 + number)
         for number, account in enumerate(_ACCOUNTS)
@@ -123,7 +133,7 @@
 
 
 def main() -> None:
-    """Runs both ways and prints the result; the baseline once."""
+    """Measures both variants, the baseline once, and prints the result."""
     seeds = tuple(int(seed) for seed in sys.argv[1:]) or _SEEDS
     figures = _measure("limits", _QUEUE_MS, "fair", seeds)
     baseline = _measure("fifo", _NO_LIMIT_MS, "fifo", seeds[:1])
--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -1,7 +1,7 @@
-"""Time to plan layers and to choose a path, over the size of the fleet.
+"""Time to plan the placement and to choose a path, over the fleet size.
 
-Prints a JSON line with the milliseconds of a first plan, of a plan after one
-engine is lost, and of a path, at 38, 195 and 780 engines.
+Prints a JSON line with the times in ms of a first plan, of a plan after the
+loss of one engine, and of choosing a path, at 38, 195 and 780 engines.
 """
 
 import json
@@ -42,7 +42,7 @@
 
 
 def main() -> None:
-    """Measures and prints one JSON line."""
+    """Measures all sizes and prints the result."""
     figures = {}
     for count, data_centres in SIZES:
         empty = _make_engines(count, data_centres)
--- a/benchmarks/poison.py
+++ b/benchmarks/poison.py
@@ -1,7 +1,7 @@
-"""Crashes that one request causes, and companions that it takes along.
+"""Crashes caused by one poison request, and other requests that fail with it.
 
-Run with `python -m benchmarks.poison`. The baseline knows no quarantine: its
-bundle forgets a crash at once, so that every copy of the request runs.
+Run with `python -m benchmarks.poison`. The baseline has no effective
+quarantine: crashes expire after 1 ms, so that every copy of the request runs.
 """
 
 import sys
@@ -115,7 +115,7 @@
 
 
 def main() -> None:
-    """Runs both ways and prints the result."""
+    """Measures both variants and prints the result."""
     seeds = tuple(int(seed) for seed in sys.argv[1:]) or _SEEDS
     figures = _measure("quarantine", 600_000, seeds)
     baseline = _measure("none", _SHORTEST_EXPIRE_MS, seeds)
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -1,10 +1,10 @@
-"""Recovery: from a fault to the caller's next token.
+"""Time from a fault to the client's next token.
 
-Twelve streams run over three stages' worth of engines in two data centres;
-then one fault strikes a stage that some of them use. The time is taken at
-the callers: from the fault to the first token after the gap, for each stream
-that had to be recovered. The baseline begins each such stream afresh on a
-new chain.
+Twelve streams run over engines of three stages in two data centres. Then a
+fault is injected into a stage that some of the streams use. For each stream
+that has to be recovered, the time from the fault to the first token after the
+gap is measured at the client. The baseline restarts each such stream on a new
+chain.
 """
 
 import random
@@ -45,14 +45,15 @@
 
 @attrs.define
 class FaultOutcome:
-    """What one fault did.
+    """Effects of one or more faults.
 
     Attributes:
-        recovery_ms: Fault to next token, for each stream that was struck.
-        recomputed: Layer runs beyond once for each position, in tokens.
-        disturbed: Streams given another attempt though their stages lived.
-        untouched: Streams whose stages all lived.
-        wrong: Streams without the whole right answer.
+        recovery_ms: Time from the fault to the next token, for each affected
+            stream.
+        recomputed: Layer runs beyond one per position, in tokens.
+        disturbed: Number of unaffected streams that had another attempt.
+        untouched: Number of streams whose stages did not fail.
+        wrong: Number of streams without the complete, correct text.
     """
 
     recovery_ms: list[float] = attrs.field(factory=list)
@@ -62,7 +63,7 @@
     wrong: int = 0
 
     def add(self, other: "FaultOutcome") -> None:
-        """Adds another fault's numbers."""
+        """Adds the numbers of another fault."""
         self.recovery_ms += other.recovery_ms
         self.recomputed += other.recomputed
         self.disturbed += other.disturbed
@@ -71,7 +72,12 @@
 
 
 def start_site(site: Site, policy: str) -> None:
-    """Starts engines of three stages, each twice, and an entry."""
+    """Starts engines of three stages in two data centres, and an entry.
+
+    Args:
+        site: The site.
+        policy: Recovery policy of the entry.
+    """
     site.start_platform()
     site.add_account(_ACCOUNT, streams=1000)
     site.publish()
@@ -109,7 +115,7 @@
 
 
 def _cut(site: Site) -> None:
-    """Cuts the target off from those who feed it, not from the entry."""
+    """Cuts the links from the target to upstream sides, not to the entry."""
     _control_links(site, "cut")
 
 
@@ -120,9 +126,9 @@
 
 
 def _silence(site: Site) -> None:
-    """Silences every open connection between the target and its feeders.
+    """Silences all connections between the target and its upstream sides.
 
-    Either end may have dialled it, so the relays of both are told.
+    Either end may have opened a connection, so the relays of both are set.
     """
     site.control(f"relay-{_TARGET}", {"silence": "*"})
     for name in _UPSTREAM_SIDES:
@@ -144,7 +150,7 @@
 
 
 def _repair(site: Site) -> None:
-    """Makes the site whole again after a fault."""
+    """Repairs a fault and waits until no stream is left."""
     site.processes[_TARGET].signal(signal.SIGCONT)
     _control_links(site, "heal")
     for name in (_TARGET, _SECOND_TARGET):
@@ -161,7 +167,13 @@
 
 
 def run_fault(site: Site, fault: str, generator: random.Random) -> FaultOutcome:
-    """Strikes a running site once and reads what happened."""
+    """Injects one fault while streams run and returns its effects.
+
+    Args:
+        site: The running site.
+        fault: Name of the fault.
+        generator: Random source of the requests.
+    """
     layers_before = _layers_run(site)
     callers = [
         Caller(
@@ -207,7 +219,7 @@
 
 
 def _excluded_by_stream(site: Site) -> dict[str, set[str]]:
-    """Reads the entry's log lines about further attempts."""
+    """Returns the excluded instances by stream, from the entry's log."""
     excluded: dict[str, set[str]] = {}
     for line in (site.folder / "entry-a.log").read_bytes().splitlines():
         if b"stream.attempt" not in line:
@@ -218,10 +230,10 @@
 
 
 def _gap_ms(caller: Caller, fault_s: float) -> float:
-    """Returns the time from the fault to the end of the gap it made.
+    """Returns the time from the fault to the end of the gap that it caused.
 
-    That is the longest gap of those that began soon after the fault; 0 if
-    none was longer than tokens usually are apart.
+    This is the longest gap that began shortly after the fault; 0 if that gap
+    is no longer than the usual time between tokens.
     """
     times = [s for s in caller.arrivals if s > fault_s]
     pairs = zip([fault_s, *times], times, strict=False)
@@ -233,7 +245,7 @@
 
 
 def _layers_run(site: Site) -> int:
-    """Returns how often engines have run a layer for a position."""
+    """Returns the number of (layer, position) pairs that engines have run."""
     return sum(
         site.read_counters(name)["layers_run"]
         for name, process in site.processes.items()
@@ -242,7 +254,7 @@
 
 
 def measure(policy: str) -> dict[str, float]:
-    """Returns the figures of one way of recovery."""
+    """Returns the figures of one recovery policy."""
     p95: dict[str, list[float]] = {fault: [] for fault in _FAULTS}
     total = FaultOutcome()
     for seed in _SEEDS:
@@ -272,7 +284,7 @@
 ) -> None:
     print(
         f"{policy} {fault} seed {seed}: "
-        f"{len(outcome.recovery_ms)} of {_STREAMS} struck, "
+        f"{len(outcome.recovery_ms)} of {_STREAMS} affected, "
         f"p50 {_median(outcome.recovery_ms):.0f} ms, "
         f"p95 {_p95(outcome.recovery_ms):.0f} ms, "
         f"recomputed {outcome.recomputed:.0f} tokens, "
@@ -294,7 +306,7 @@
 
 
 def main() -> None:
-    """Measures both ways and prints the result."""
+    """Measures both policies and prints the result."""
     figures = measure("replace_stage")
     baselines = {"full_prefill": measure("full_prefill")}
     print_result(Result("recovery", len(_SEEDS), figures, baselines))
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -1,8 +1,8 @@
-"""Processor time of entry and side per relayed token and step.
+"""Processor time of entry and side processes per relayed token and step.
 
-Processes over loopback; the kernel's account of each process is read before
-and after, and divided by the tokens that callers received and by the steps
-that engines answered.
+The processes communicate over loopback. Their processor time, read from the
+kernel before and after a run, is divided by the number of tokens that clients
+received and by the number of steps that engines completed.
 """
 
 import os
@@ -38,12 +38,20 @@
 
 
 def count_steps(site: Site, name: str) -> float:
-    """Returns the units that a side process's engine has answered."""
+    """Returns the number of items that the engine of a side has completed."""
     return site.metric(name, "caroblug_engine_items_total")
 
 
 def start(site: Site, copies: int) -> list[str]:
-    """Starts a site of three stages and returns the side processes."""
+    """Starts an entry and engines of three stages.
+
+    Args:
+        site: The site.
+        copies: Number of engines of each stage.
+
+    Returns:
+        The names of the side processes.
+    """
     site.start_platform()
     site.add_account("bench", streams=100_000)
     site.publish()
@@ -63,7 +71,7 @@
 
 
 def measure_idle_us_per_s(site: Site, names: list[str]) -> float:
-    """Returns the mean processor time of idle processes, in µs a second."""
+    """Returns the mean processor time of idle processes, in µs per second."""
     before = sum(read_cpu_us(site, name) for name in names)
     gevent.sleep(_IDLE_S)
     after = sum(read_cpu_us(site, name) for name in names)
@@ -71,7 +79,7 @@
 
 
 def run(site: Site, sides: list[str], streams: int, seed: int) -> dict:
-    """Returns the costs at a number of streams."""
+    """Returns the costs with a number of concurrent streams."""
     callers = Callers(site, "bench", [_ENTRY], [_SHAPE], seed)
     callers.start(streams)
     gevent.sleep(_WARM_UP_S)
--- a/benchmarks/throughput.py
+++ b/benchmarks/throughput.py
@@ -1,10 +1,10 @@
-"""Generated tokens a second over the bound, at saturation.
+"""Throughput at saturation, relative to the maximum of the fleet.
 
-Thirteen mixed engines in three data centres, an entry in each; closed loops
-of short and long prompts. Each way of choosing chains has the same engines
-and the same seeds; `ratio_degraded` has one data centre's links a hundred
-times as slow. The links' bandwidth is not emulated: a stand-in's hidden state
-has 16 bytes.
+Thirteen mixed engines run in three data centres with an entry in each, under
+closed loops of short and long prompts. All policies for choosing chains run
+with the same engines and seeds. For `ratio_degraded`, the links of one data
+centre have a hundredfold latency. The bandwidth of links is not emulated,
+because a hidden state of a stand-in has only 16 bytes.
 """
 
 import contextlib
@@ -34,7 +34,7 @@
 
 @contextlib.contextmanager
 def make_linked_site(links: dict) -> Iterator[fleet.LinkedSite]:
-    """Yields a running fleet over these links."""
+    """Yields a running fleet over emulated links."""
     with tempfile.TemporaryDirectory(prefix="caroblug-") as folder:
         site = fleet.LinkedSite(pathlib.Path(folder))
         site.links = links
@@ -46,7 +46,7 @@
 
 
 def measure_run(site: fleet.LinkedSite, entries: list[str], seed: int) -> float:
-    """Returns the ratio of one run."""
+    """Returns the ratio of generated tokens to the maximum in one run."""
     callers = Callers(site, "bench", entries, _SHAPES, seed)
     callers.start(_STREAMS)
     start, end = callers.measure(_WARM_UP_S, _MEASURE_S)
@@ -68,7 +68,16 @@
 def measure(
     links: dict, name: str, baseline_seeds: tuple[int, ...]
 ) -> dict[str, dict[str, float]]:
-    """Returns the median ratio by way of choosing, under `name`."""
+    """Measures the policies for choosing chains.
+
+    Args:
+        links: (latency in ms, bytes per second) by data centre.
+        name: Name of the figure.
+        baseline_seeds: Seeds for the policies other than the default.
+
+    Returns:
+        The median ratio under `name`, by policy.
+    """
     ratios = {}
     with make_linked_site(links) as site:
         for policy in CHOOSERS:
