--- a/benchmarks/accounts.py
+++ b/benchmarks/accounts.py
@@ -37,6 +37,8 @@
 
 @attrs.define
 class _Cost:
+    """Bytes and messages that an entry sends, and its processor time."""
+
     out_bytes: int = 0
     messages: int = 0
     seconds: float = 0.0
--- a/benchmarks/bundle_spread.py
+++ b/benchmarks/bundle_spread.py
@@ -37,6 +37,8 @@
 
 @attrs.define
 class _Totals:
+    """Totals that a follower process prints, in the order of its fields."""
+
     bytes: float = 0.0
     frames: float = 0.0
     reads: float = 0.0
--- a/benchmarks/log_outage.py
+++ b/benchmarks/log_outage.py
@@ -39,6 +39,8 @@
 
 @attrs.define
 class _Tally:
+    """Number of sent and of successful requests of one kind."""
+
     total_requests: int = 0
     served: int = 0
 
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -269,6 +269,8 @@
 
 
 class _DescriptionResource:
+    """Serves the engine's description; does not respond while it hangs."""
+
     def __init__(self, engine: Engine) -> None:
         self._engine = engine
 
@@ -280,6 +282,8 @@
 
 
 class _RunResource:
+    """Frees ended sessions, runs a batch of items and returns the results."""
+
     def __init__(self, engine: Engine) -> None:
         self._engine = engine
 
@@ -292,6 +296,8 @@
 
 
 class _TimingsResource:
+    """Returns and clears the recorded timings."""
+
     def __init__(self, engine: Engine) -> None:
         self._engine = engine
 
@@ -302,6 +308,8 @@
 
 
 class _OrdersResource:
+    """Applies an order; responds with status 409 if it was fenced."""
+
     def __init__(self, engine: Engine) -> None:
         self._engine = engine
 
--- a/standins/instances.py
+++ b/standins/instances.py
@@ -51,6 +51,8 @@
 
 
 class _InstancesResource:
+    """Returns the visible records; adds, updates or removes an instance."""
+
     def __init__(self, instance_list: InstanceList) -> None:
         self._list = instance_list
 
@@ -68,6 +70,8 @@
 
 
 class _ControlResource:
+    """Sets faults for tests: `down` and `lag_ms`."""
+
     def __init__(self, instance_list: InstanceList) -> None:
         self._list = instance_list
 
--- a/standins/log.py
+++ b/standins/log.py
@@ -127,6 +127,8 @@
 
 
 class _RecordsResource:
+    """Appends and reads the records of a stream, subject to the faults."""
+
     def __init__(self, log: Log) -> None:
         self._log = log
 
--- a/standins/soak/__main__.py
+++ b/standins/soak/__main__.py
@@ -1,4 +1,7 @@
-"""Runs one seeded soak test and prints its result as one JSON line."""
+"""Runs one seeded soak test and prints its result as one JSON line.
+
+Run with `python -m standins.soak --seed SEED --seconds SECONDS`.
+"""
 
 from gevent import monkey
 
--- a/standins/soak/_faults.py
+++ b/standins/soak/_faults.py
@@ -221,19 +221,26 @@
 
 
 class PlatformFault(Fault):
-    """Injects a temporary fault into a stand-in of the platform."""
+    """Injects a temporary fault into a stand-in of the platform.
+
+    Args:
+        kind: Name of the kind in the trace and the result.
+        name: Name of the stand-in.
+        orders: Control commands that inject the fault.
+        repair: Control commands that repair it.
+    """
 
     def __init__(
         self,
         kind: str,
         name: str,
         orders: dict[str, object],
-        mend: dict[str, object],
+        repair: dict[str, object],
     ) -> None:
         self.kind = kind
         self._name = name
         self._fault_commands = orders
-        self._repair_commands = mend
+        self._repair_commands = repair
 
     def run(self, context: FaultContext) -> bool:
         context.record.add_event("fault", fault=self.kind)
@@ -245,7 +252,7 @@
 
 
 class RacingOperators(Fault):
-    """Publishes bundles from two operators at the same time."""
+    """Publishes two bundles at the same time; versions may only rise."""
 
     kind = "racing_operators"
 
--- a/standins/tests/test_bundles.py
+++ b/standins/tests/test_bundles.py
@@ -13,6 +13,8 @@
 
 
 class _Operator:
+    """Process that signs and publishes bundles on command."""
+
     def __init__(self, site, number):
         key = str(site.folder / f"operator-{number}.key")
         self.process = subprocess.Popen(
--- a/standins/weights.py
+++ b/standins/weights.py
@@ -61,6 +61,8 @@
 
 
 class _LoadsResource:
+    """Grants a load, or responds with status 429 and `Retry-After`."""
+
     def __init__(self, store: WeightStore) -> None:
         self._store = store
 
@@ -76,6 +78,8 @@
 
 
 class _ControlResource:
+    """Returns the counters of the store."""
+
     def __init__(self, store: WeightStore) -> None:
         self._store = store
 
