--- a/standins/tests/test_bundles.py
+++ b/standins/tests/test_bundles.py
@@ -31,11 +31,11 @@
             text=True,
         )
 
-    def order(self, text):
+    def send_command(self, text):
         self.process.stdin.write(f"{text}\n")
         self.process.stdin.flush()
 
-    def answer(self):
+    def read_result(self):
         code, _, text = self.process.stdout.readline().strip().partition("\t")
         return int(code), text
 
@@ -50,7 +50,7 @@
         yield running
 
 
-def _entries(site, *names, **settings):
+def _start_entries(site, *names, **settings):
     for name in names:
         site.start_entry(
             EntrySpec(name=name, data_centre=name[-1], settings=settings)
@@ -59,12 +59,12 @@
         site.wait_http(site.processes[name].http_port, "/readyz")
 
 
-def _status(site, name):
+def _read_status(site, name):
     port = site.processes[name].http_port
     return site.http(port, "GET", "/status").json()
 
 
-def _records(site):
+def _read_records(site):
     path = f"/streams/{BUNDLE_STREAM}?offset=0&limit=1000"
     return site.http(site.log_port, "GET", path).json()["records"]
 
@@ -72,7 +72,7 @@
 def _wait_version(site, version, *names):
     for name in names:
         site.wait_for(
-            lambda name=name: _status(site, name)["version"] == version,
+            lambda name=name: _read_status(site, name)["version"] == version,
             f"version {version} at {name}",
         )
 
@@ -86,25 +86,25 @@
     """
     site.start_platform(operators=2)
     site.publish()
-    _entries(site, "entry-a")
+    _start_entries(site, "entry-a")
     operators = [_Operator(site, 0), _Operator(site, 1)]
     try:
         for number in range(_ROUNDS):
             for index, operator in enumerate(operators):
-                operator.order(f"sign {1000 + 2 * number + index}")
+                operator.send_command(f"sign {1000 + 2 * number + index}")
             for operator in operators:
-                assert operator.answer()[0] == 0
+                assert operator.read_result()[0] == 0
             for operator in operators:
-                operator.order("publish")
-            answers = [operator.answer() for operator in operators]
-            assert sorted(code for code, _ in answers) == [0, 1]
-            winner, loser = sorted(answers)
+                operator.send_command("publish")
+            results = [operator.read_result() for operator in operators]
+            assert sorted(code for code, _ in results) == [0, 1]
+            winner, loser = sorted(results)
             version = number + 2
             assert f"version {version} is accepted" in winner[1]
             assert f"not accepted: version {version} digest" in loser[1]
             digest = loser[1].split("digest ")[1].split()[0]
             _wait_version(site, version, "entry-a")
-            assert _status(site, "entry-a")["digest"] == digest
+            assert _read_status(site, "entry-a")["digest"] == digest
     finally:
         for operator in operators:
             operator.close()
@@ -118,15 +118,17 @@
     """
     site.start_platform(log_options=("--retention-s=4",))
     site.publish()
-    first = _records(site)[0]
+    first = _read_records(site)[0]
     settings = {"log_retention_ms": _RETENTION_MS}
-    _entries(site, "entry-a", "entry-b", **settings)
+    _start_entries(site, "entry-a", "entry-b", **settings)
     site.bundle["limits"]["max_tokens"] = 77
     site.publish()
     _wait_version(site, 2, "entry-a", "entry-b")
-    published = len(_records(site)) + 1
+    published = len(_read_records(site)) + 1
     site.wait_for(
-        lambda: _records(site) and _records(site)[0]["offset"] > published,
+        lambda: (
+            _read_records(site) and _read_records(site)[0]["offset"] > published
+        ),
         "the expiry of all that was published",
     )
     site.control("log", {"retention_s": 3600})
@@ -135,8 +137,8 @@
         site.list_instance(name, "gone")
     path = f"/streams/{BUNDLE_STREAM}"
     site.http(site.log_port, "POST", path, {"data": first["data"]})
-    _entries(site, "entry-c", **settings)
-    assert _status(site, "entry-c")["version"] == 2
+    _start_entries(site, "entry-c", **settings)
+    assert _read_status(site, "entry-c")["version"] == 2
 
 
 def test_outage_while_publishing(site):
@@ -149,21 +151,21 @@
     site.start_platform()
     site.publish()
     names = ("entry-a", "entry-b", "entry-c")
-    _entries(site, *names)
+    _start_entries(site, *names)
     site.control("log", {"lose_answers": 1})
     site.publish()
-    assert len(_records(site)) == 2
+    assert len(_read_records(site)) == 2
     _wait_version(site, 2, *names)
     site.bundle["limits"]["max_tokens"] = 5
     operator = _Operator(site, 0)
-    operator.order("sign 5")
-    assert operator.answer()[0] == 0
+    operator.send_command("sign 5")
+    assert operator.read_result()[0] == 0
     site.control("log", {"down": True})
-    operator.order("publish")
-    _entries(site, "entry-d")
-    assert _status(site, "entry-d")["version"] == 2
+    operator.send_command("publish")
+    _start_entries(site, "entry-d")
+    assert _read_status(site, "entry-d")["version"] == 2
     site.control("log", {"down": False})
-    assert operator.answer()[0] == 0
+    assert operator.read_result()[0] == 0
     operator.close()
     _wait_version(site, 3, *names, "entry-d")
 
@@ -171,12 +173,15 @@
 def test_withdrawn_instance_drains_and_status_shows_the_rest(site):
     site.start_platform()
     site.publish()
-    _entries(site, "entry-a", "entry-b")
+    _start_entries(site, "entry-a", "entry-b")
     address = f"127.0.0.1:{site.instance_list_port}"
-    answer = site.run_bundle_command(
+    result = site.run_bundle_command(
         "withdraw", "entry-b", "--instances", address, check=False
     )
-    assert (answer.returncode, answer.stdout) == (0, "entry-b has drained\n")
+    assert (result.returncode, result.stdout) == (
+        0,
+        "entry-b has drained\n",
+    )
     assert site.processes["entry-b"].popen.wait(10) == 0
     site.list_instance("entry-b", "gone")
     command = ["status", *site.log_options(), "--instances", address]
@@ -187,10 +192,10 @@
         ),
         "the list without entry-b",
     )
-    answer = site.run_bundle_command(*command)
-    assert "entry-a (entry, a): version 1 since" in answer.stdout
-    assert "1 of 1 instances have version 1" in answer.stdout
-    answer = site.run_bundle_command(
+    result = site.run_bundle_command(*command)
+    assert "entry-a (entry, a): version 1 since" in result.stdout
+    assert "1 of 1 instances have version 1" in result.stdout
+    result = site.run_bundle_command(
         "withdraw", "entry-x", "--instances", address, check=False
     )
-    assert answer.returncode == 2
+    assert result.returncode == 2
