--- a/benchmarks/latency.py
+++ b/benchmarks/latency.py
@@ -97,8 +97,8 @@
     for process in site.processes.values():
         if process.role != "engine":
             continue
-        answer = site.http(process.http_port, "GET", "/timings")
-        for session, start, end in answer.json()["timings"]:
+        response = site.http(process.http_port, "GET", "/timings")
+        for session, start, end in response.json()["timings"]:
             stream = session.partition(".")[0]
             spans.setdefault(stream, []).append((start, end))
     return {stream: merge_spans(found) for stream, found in spans.items()}
--- a/standins/demo.py
+++ b/standins/demo.py
@@ -39,7 +39,7 @@
     site.wait_ready()
 
 
-def print_answer(site: Site) -> bool:
+def print_completion(site: Site) -> bool:
     """Prints a streamed completion and returns whether it is correct."""
     body = {
         "model": MODEL,
@@ -86,10 +86,13 @@
         for process in site.processes.values():
             place = process.data_centre or "platform"
             print(f"process: {process.role:10} {process.name} ({place})")
-        answer_correct = print_answer(site)
+        completion_correct = print_completion(site)
         booked_once = print_booking(site)
-    print(f"the answer is right: {answer_correct}; booked once: {booked_once}")
-    return 0 if answer_correct and booked_once else 1
+    print(
+        f"the completion is correct: {completion_correct};"
+        f" booked once: {booked_once}"
+    )
+    return 0 if completion_correct and booked_once else 1
 
 
 if __name__ == "__main__":
--- a/standins/soak/_callers.py
+++ b/standins/soak/_callers.py
@@ -262,7 +262,7 @@
         """
         since = time.monotonic()
         try:
-            answer = self._site.call(
+            response = self._site.call(
                 entry,
                 account,
                 method,
@@ -277,7 +277,7 @@
         finally:
             if time.monotonic() - since > _HANG_THRESHOLD_S:
                 self._record.add_violation("call hung", entry=entry, key=key)
-        if answer.status in _SUCCESS:
-            return answer.status, "yes"
-        self._describe_refusal(answer.json())
-        return answer.status, answer.json()["error"]["ran"]
+        if response.status in _SUCCESS:
+            return response.status, "yes"
+        self._describe_refusal(response.json())
+        return response.status, response.json()["error"]["ran"]
--- a/standins/tests/test_limits.py
+++ b/standins/tests/test_limits.py
@@ -42,14 +42,14 @@
     return site.call(entry, account, "POST", "/v1/completions", body)
 
 
-def _refusals(answers):
-    refused = [a for a in answers if a.status != 200]
-    for answer in refused:
-        error = answer.json()["error"]
-        assert (answer.status, error["type"]) == (429, "limit_reached")
+def _refusals(responses):
+    refused = [a for a in responses if a.status != 200]
+    for response in refused:
+        error = response.json()["error"]
+        assert (response.status, error["type"]) == (429, "limit_reached")
         assert error["ran"] == "no"
         assert error["retry_after_ms"] > 0
-        assert "retry-after" in [name.lower() for name, _ in answer.headers]
+        assert "retry-after" in [name.lower() for name, _ in response.headers]
     return len(refused)
 
 
@@ -60,24 +60,24 @@
         for number in range(16)
     ]
     gevent.joinall(calls, timeout=_WAIT_S)
-    answers = [call.get(block=False) for call in calls]
-    served = len(answers) - _refusals(answers)
+    responses = [call.get(block=False) for call in calls]
+    served = len(responses) - _refusals(responses)
     assert 1 <= served <= 2 * 4
 
 
 def test_tokens_of_a_minute_are_bounded_over_all_entries(site):
     """Guards against an account that uses its token rate at each entry."""
-    answers = [_complete(site, number, "poor", 100) for number in range(40)]
-    served = len(answers) - _refusals(answers)
+    responses = [_complete(site, number, "poor", 100) for number in range(40)]
+    served = len(responses) - _refusals(responses)
     assert 1 <= served <= 2 * 1200 // 100 + len(_ENTRIES)
     light = _complete(site, 1, "school-1", 4)
     assert light.status == 200
 
 
 def test_body_over_the_limit_of_its_model_is_refused(site):
-    answer = _complete(site, 10**70, "school-1", 4, model="small")
-    assert answer.status == 413
-    assert answer.json()["error"]["ran"] == "no"
+    response = _complete(site, 10**70, "school-1", 4, model="small")
+    assert response.status == 413
+    assert response.json()["error"]["ran"] == "no"
 
 
 def test_account_is_served_after_its_home_entry_has_crashed(site):
--- a/standins/tests/test_once.py
+++ b/standins/tests/test_once.py
@@ -129,9 +129,9 @@
 def test_same_key_at_both_entries_at_once_runs_once(site):
     """Guards against two runs of a call that is sent to both entries."""
     pending = [_book_in_thread(site, "twin", entry) for entry in (0, 1) * 4]
-    answers = [p.get() for p in pending]
-    assert {a.status for a in answers} == {201}
-    assert len({a.body for a in answers}) == 1
+    responses = [p.get() for p in pending]
+    assert {a.status for a in responses} == {201}
+    assert len({a.body for a in responses}) == 1
     assert _runs(site, "twin") == 1
 
 
@@ -164,9 +164,9 @@
     _wait_run(site, "entry-dies")
     site.processes[_entries(site)[0]].kill()
     assert pending_response.get() is None
-    answer = _book(site, "entry-dies", 1)
-    assert answer.status == 201
-    assert answer.json()["run"] == 1
+    response = _book(site, "entry-dies", 1)
+    assert response.status == 201
+    assert response.json()["run"] == 1
     assert _runs(site, "entry-dies") == 1
 
 
--- a/standins/tests/test_orders.py
+++ b/standins/tests/test_orders.py
@@ -85,13 +85,13 @@
             "seed": 3,
         }
 
-        def _answer():
+        def _complete():
             return site.call(
                 "entry-a", _ACCOUNT, "POST", "/v1/chat/completions", body
             )
 
-        site.wait_for(lambda: _answer().status == 200, "an answer")
-        content = _answer().json()["choices"][0]["message"]["content"]
+        site.wait_for(lambda: _complete().status == 200, "an answer")
+        content = _complete().json()["choices"][0]["message"]["content"]
         assert content == _expected(site)
         store = site.read_counters("weights")
         assert store["given"] == 3
--- a/standins/tests/test_path.py
+++ b/standins/tests/test_path.py
@@ -44,9 +44,9 @@
         for chunk in site.stream("entry-b", "school-1", _body())
     ]
     assert "".join(parts) == _expected(site)
-    answer = _complete(site, _body()).json()
-    assert answer["choices"][0]["message"]["content"] == _expected(site)
-    assert answer["usage"]["completion_tokens"] == 12
+    response = _complete(site, _body()).json()
+    assert response["choices"][0]["message"]["content"] == _expected(site)
+    assert response["usage"]["completion_tokens"] == 12
 
 
 def test_no_engine_ran_a_position_twice(site):
@@ -66,24 +66,24 @@
     ],
 )
 def test_bad_requests_are_refused(site, body, status, kind):
-    answer = _complete(site, body)
-    assert answer.status == status
-    error = answer.json()["error"]
+    response = _complete(site, body)
+    assert response.status == status
+    error = response.json()["error"]
     assert error["type"] == kind
     assert error["ran"] == "no"
 
 
 def test_unknown_key_is_refused(site):
     port = site.processes["entry-a"].http_port
-    answer = site.http(
+    response = site.http(
         port,
         "POST",
         "/v1/chat/completions",
         _body(),
         {"Authorization": "Bearer school-1:wrong"},
     )
-    assert answer.status == 401
-    assert answer.json()["error"]["ran"] == "no"
+    assert response.status == 401
+    assert response.json()["error"]["ran"] == "no"
 
 
 def test_new_bundle_is_taken_up_without_a_restart(site):
@@ -91,8 +91,8 @@
     site.publish()
 
     def _listed():
-        answer = site.call("entry-a", "school-1", "GET", "/v1/models")
-        return "second" in [m["id"] for m in answer.json()["data"]]
+        response = site.call("entry-a", "school-1", "GET", "/v1/models")
+        return "second" in [m["id"] for m in response.json()["data"]]
 
     site.wait_for(_listed, "the new bundle")
 
--- a/standins/tests/test_poison.py
+++ b/standins/tests/test_poison.py
@@ -92,13 +92,13 @@
 
 
 def _send_poison(site, entry):
-    answer = _complete(site, entry, "poisoner", f"{_WORD} shower")
-    return answer.status, answer.json().get("error", {}), answer.headers
+    response = _complete(site, entry, "poisoner", f"{_WORD} shower")
+    return response.status, response.json().get("error", {}), response.headers
 
 
-def _content(answer):
-    assert answer.status == 200, answer.body
-    return answer.json()["choices"][0]["message"]["content"]
+def _content(response):
+    assert response.status == 200, response.body
+    return response.json()["choices"][0]["message"]["content"]
 
 
 @pytest.mark.parametrize("crashes_first_stage", [True, False])
