--- a/benchmarks/_load.py
+++ b/benchmarks/_load.py
@@ -1,4 +1,4 @@
-"""Callers for benchmarks: closed loops of streamed completions."""
+"""Closed-loop load generator of streamed completions."""
 
 import collections
 import random
@@ -16,17 +16,17 @@
 _ID_MARK = b'"id":"cmpl-'
 _END_MARK = b"data: [DONE]"
 _TIMEOUT_S = 120.0
-_PAUSE_S = 0.05
+_POLL_S = 0.05
 
 
 @attrs.frozen
-class Shape:
+class RequestShape:
     """One kind of request.
 
     Attributes:
-        words: Words of the prompt.
-        tokens: Tokens to generate.
-        share: How often it comes, relative to the other kinds.
+        words: Number of words in the prompt.
+        tokens: Number of tokens to generate.
+        share: Relative frequency of this kind.
     """
 
     words: int
@@ -35,14 +35,14 @@
 
 
 @attrs.frozen
-class Gap:
-    """A caller's wait for its next token.
+class TokenGap:
+    """Time that a client waited for its next token.
 
     Attributes:
-        stream: The stream, as the answer names it.
-        start: When the request was sent or the token before came.
-        end: When the token came.
-        first: Whether it was the first.
+        stream: Identifier of the stream in the response.
+        start: Time of the request or of the previous token.
+        end: Arrival of the token.
+        first: Whether the token was the first one.
     """
 
     stream: str
@@ -53,46 +53,53 @@
 
 @attrs.define
 class Tally:
-    """What the callers saw, all times in seconds of one clock.
+    """Measurements of the clients; times are monotonic, in seconds.
 
     Attributes:
-        tokens: How many tokens came, with when.
+        tokens: Arrival times, each with a number of tokens.
         gaps: Every wait for a token.
-        prompts: Length of each prompt, with when its first token came.
-        failed: Streams without a whole answer.
-        answered: Streams with a whole answer.
+        prompts: Arrival of each stream's first token, with the prompt length.
+        failed: Number of streams without a complete response.
+        answered: Number of streams with a complete response.
     """
 
     tokens: list[tuple[float, int]] = attrs.field(factory=list)
-    gaps: list[Gap] = attrs.field(factory=list)
+    gaps: list[TokenGap] = attrs.field(factory=list)
     prompts: list[tuple[float, int]] = attrs.field(factory=list)
     failed: int = 0
     answered: int = 0
 
-    def generated(self, start: float, end: float) -> int:
-        """Returns the tokens that came in a span of time."""
+    def generated_tokens(self, start: float, end: float) -> int:
+        """Returns the number of tokens that arrived in a time span."""
         return sum(n for at, n in self.tokens if start <= at < end)
 
     def generated_share(self, start: float, end: float) -> float:
-        """Returns generated tokens per position that engines had to run.
+        """Returns the share of generated tokens in the positions run.
 
-        A prompt counts when its first token comes; that token is the answer
-        to its last position, which is not run twice.
+        A prompt counts when its first token arrives. That token results from
+        the prompt's last position, which therefore counts once.
+
+        Args:
+            start: Start of the time span.
+            end: End of the time span.
         """
-        tokens = self.generated(start, end)
+        tokens = self.generated_tokens(start, end)
         in_span = [n for at, n in self.prompts if start <= at < end]
         return tokens / (tokens + sum(in_span) - len(in_span))
 
 
 class Callers:
-    """Callers that each send the next request when an answer has ended.
+    """Clients that each send the next request when a response has ended.
 
     Args:
         site: The running site.
-        account: Whose key they use.
-        entries: Entries, taken in turn.
+        account: The client account of all requests.
+        entries: Names of the entries, used round-robin.
         shapes: Kinds of requests.
         seed: Seed of the mix and of the prompts.
+
+    Attributes:
+        tally: Measurements so far.
     """
 
     def __init__(
@@ -100,7 +107,7 @@
         site: Site,
         account: str,
         entries: Sequence[str],
-        shapes: Sequence[Shape],
+        shapes: Sequence[RequestShape],
         seed: int,
     ) -> None:
         self.tally = Tally()
@@ -113,65 +120,81 @@
         self._stopped = False
 
     def start(self, streams: int) -> None:
-        """Starts closed loops."""
+        """Starts a number of closed loops."""
         for number in range(streams):
             entry = self._entries[number % len(self._entries)]
-            self._running.append(gevent.spawn(self._loop, entry))
+            self._running.append(gevent.spawn(self._run_loop, entry))
 
     def stop(self) -> None:
-        """Ends every loop, also in the middle of an answer."""
+        """Ends every loop, also in the middle of a response."""
         self._stopped = True
         gevent.killall(self._running)
         self._running.clear()
 
     def measure(self, warm_s: float, seconds: float) -> tuple[float, float]:
-        """Lets the loops run and returns the measured span."""
+        """Waits while the loops run.
+
+        Args:
+            warm_s: Time before the measurement.
+            seconds: Duration of the measurement.
+
+        Returns:
+            Start and end of the measurement.
+        """
         gevent.sleep(warm_s)
         start = time.monotonic()
         gevent.sleep(seconds)
         return start, time.monotonic()
 
     def request(self, entry: str, words: int, tokens: int) -> None:
-        """Sends one request and reads its answer to the end."""
+        """Sends one request and reads its whole response.
+
+        Args:
+            entry: Name of the entry.
+            words: Number of words in the prompt.
+            tokens: Number of tokens to generate.
+        """
         prompt = " ".join(
             f"w{self._random.randrange(10_000)}" for _ in range(words)
         )
         try:
-            whole = self._stream(entry, prompt, tokens)
+            complete = self._stream_completion(entry, prompt, tokens)
         except OSError:
-            whole = False
-        if whole:
+            complete = False
+        if complete:
             self.tally.answered += 1
         else:
             self.tally.failed += 1
-            gevent.sleep(_PAUSE_S)
+            gevent.sleep(_POLL_S)
 
-    def _loop(self, entry: str) -> None:
+    def _run_loop(self, entry: str) -> None:
         """Sends one request after the other.
 
-        The first is the rest of one, with a prompt of one word and its tokens
-        cut at random: the loops don't run in step, and the run does not begin
-        with every prompt at once.
+        The first request has a prompt of one word and a random number of
+        tokens. This desynchronises the loops and avoids that all prompts
+        arrive together at the start.
         """
-        shape = self._draw()
+        shape = self._draw_shape()
         self.request(entry, 1, self._random.randint(1, shape.tokens))
         while not self._stopped:
-            shape = self._draw()
+            shape = self._draw_shape()
             self.request(entry, shape.words, shape.tokens)
 
-    def _draw(self) -> Shape:
+    def _draw_shape(self) -> RequestShape:
         weights = [shape.share for shape in self._shapes]
         return self._random.choices(self._shapes, weights)[0]
 
-    def _stream(self, entry: str, prompt: str, tokens: int) -> bool:
+    def _stream_completion(self, entry: str, prompt: str, tokens: int) -> bool:
         port = self._site.processes[entry].http_port
         body = {"model": MODEL, "prompt": prompt, "max_tokens": tokens}
         sent = time.monotonic()
         with socket.create_connection((HOST, port), _TIMEOUT_S) as sock:
-            sock.sendall(self._encode({**body, "stream": True, "seed": 1}))
-            return self._read(sock, sent, tokens, len(prompt.split()))
+            sock.sendall(
+                self._encode_request({**body, "stream": True, "seed": 1})
+            )
+            return self._read_response(sock, sent, tokens, len(prompt.split()))
 
-    def _encode(self, body: dict) -> bytes:
+    def _encode_request(self, body: dict) -> bytes:
         data = orjson.dumps(body)
         head = (
             "POST /v1/completions HTTP/1.1\r\nHost: caroblug\r\n"
@@ -181,7 +204,7 @@
         )
         return head.encode() + data
 
-    def _read(
+    def _read_response(
         self, sock: socket.socket, sent: float, tokens: int, prompt: int
     ) -> bool:
         last = sent
@@ -197,29 +220,29 @@
             now = time.monotonic()
             if count:
                 if not seen:
-                    stream = _stream_of(data)
+                    stream = _read_stream_id(data)
                     self.tally.prompts.append((now, prompt))
                 self.tally.tokens.append((now, count))
-                self.tally.gaps.append(Gap(stream, last, now, seen == 0))
+                self.tally.gaps.append(TokenGap(stream, last, now, seen == 0))
                 seen += count
                 last = now
             if _END_MARK in data:
                 return seen >= tokens
-            tail = _rest(data)
+            tail = _unfinished_event(data)
 
 
-def _stream_of(data: bytes) -> str:
-    """Returns the stream that the first event names."""
+def _read_stream_id(data: bytes) -> str:
+    """Returns the stream identifier in the first event."""
     return data.partition(_ID_MARK)[2].partition(b'"')[0].decode()
 
 
-def _rest(data: bytes) -> bytes:
-    """Returns the part of the last, unfinished event."""
+def _unfinished_event(data: bytes) -> bytes:
+    """Returns the received part of the last, incomplete event."""
     return data[data.rfind(b"\n\n") + 1 :][-400:]
 
 
 def percentile(values: Sequence[float], share: float) -> float:
-    """Returns the value below which a share of the values lie."""
+    """Returns the value below which a share of the values lies."""
     ordered = sorted(values)
     return ordered[min(len(ordered) - 1, int(share * len(ordered)))]
 
@@ -239,10 +262,10 @@
 
 
 def wait_until(condition: Callable[[], bool], seconds: float) -> bool:
-    """Polls a condition; returns whether it came to hold in time."""
+    """Polls a condition and returns whether it held before the timeout."""
     end = time.monotonic() + seconds
     while time.monotonic() < end:
         if condition():
             return True
-        gevent.sleep(_PAUSE_S)
+        gevent.sleep(_POLL_S)
     return False
--- a/benchmarks/bundle_spread.py
+++ b/benchmarks/bundle_spread.py
@@ -1,10 +1,11 @@
-"""From the log's acceptance of a bundle to its being in force everywhere.
+"""Time from the log's acceptance of a bundle until all instances apply it.
 
-Real followers over real sockets, up to 25 in a process; the log service and
+Up to 25 followers run in a process, over real sockets. The log service and
 the instance list are stand-ins. `p100_ms_N` is the time to the last of N
-instances, the median over the changes; `bytes_per_node` is what an instance
-sends for one change among 200, idle traffic taken off. Lines before the last
-give messages, log reads and idle traffic.
+instances, as the median over the changes. `bytes_per_node` is the data that
+an instance sends for one change, without idle traffic, at the last size (200
+by default). The lines before the result show messages, log reads and idle
+traffic.
 """
 
 import argparse
@@ -26,16 +27,18 @@
 _SIZES = (10, 50, 200)
 _CHANGES = 5
 _PER_PROCESS = 25
-_PLACES = 4
+_DATA_CENTRE_COUNT = 4
 _ACCOUNTS = 1800
 _IDLE_S = 5.0
-_BOUND_S = 60.0
+_TIMEOUT_S = 60.0
 _MS_PER_S = 1000
 _US_PER_MS = 1000
 
 
 @attrs.define
-class _Sent:
+class _Totals:
+    """Totals that a follower process prints, in the order of its fields."""
+
     bytes: float = 0.0
     frames: float = 0.0
     reads: float = 0.0
@@ -43,45 +46,45 @@
     links: float = 0.0
     cpu_ms: float = 0.0
 
-    def per_node(self, before: "_Sent", nodes: int) -> "_Sent":
-        """Returns what one node has added since."""
-        return _Sent(
+    def per_node(self, before: "_Totals", nodes: int) -> "_Totals":
+        """Returns the mean increase per node since earlier totals."""
+        return _Totals(
             *(
                 (getattr(self, f.name) - getattr(before, f.name)) / nodes
-                for f in attrs.fields(_Sent)
+                for f in attrs.fields(_Totals)
             )
         )
 
 
-class _Nodes:
-    """Followers in several processes."""
+class _FollowerFleet:
+    """Followers of the bundles in several processes."""
 
     def __init__(self, site: Site, count: int) -> None:
         self.count = count
-        self._seen: dict[int, dict[str, float]] = {}
-        self._answers: list[_Sent] = []
+        self._in_force_ms: dict[int, dict[str, float]] = {}
+        self._totals: list[_Totals] = []
         self._changed = threading.Condition()
         self._processes = []
         tables = [self._settings(site, number) for number in range(count)]
         for table in tables:
-            self._list(site, table)
+            self._list_instance(site, table)
         for first in range(0, count, _PER_PROCESS):
             self._start(tables[first : first + _PER_PROCESS])
 
     def _settings(self, site: Site, number: int) -> dict:
         return {
             "instance": f"node-{number:03d}",
-            "data_centre": f"place-{number % _PLACES}",
+            "data_centre": f"place-{number % _DATA_CENTRE_COUNT}",
             "host": HOST,
             "peer_port": site.ports.take(),
             "http_port": 0,
             "shared_key": SHARED_KEY,
             "operators": site.operator_keys,
             "log": {"host": HOST, "port": site.log_port},
-            "instance_list": {"host": HOST, "port": site.instances_port},
+            "instance_list": {"host": HOST, "port": site.instance_list_port},
         }
 
-    def _list(self, site: Site, table: dict) -> None:
+    def _list_instance(self, site: Site, table: dict) -> None:
         record = {
             "instance": table["instance"],
             "role": "side",
@@ -90,7 +93,7 @@
             "data_centre": table["data_centre"],
             "state": "live",
         }
-        site.http(site.instances_port, "POST", "/instances", record)
+        site.http(site.instance_list_port, "POST", "/instances", record)
 
     def _start(self, tables: list[dict]) -> None:
         process = subprocess.Popen(
@@ -108,42 +111,44 @@
 
     def _read(self, process: subprocess.Popen) -> None:
         for line in process.stdout:
-            words = line.split()
+            fields = line.split()
             with self._changed:
-                if words[0] == b"sent":
-                    self._answers.append(_Sent(*map(float, words[1:])))
+                if fields[0] == b"sent":
+                    self._totals.append(_Totals(*map(float, fields[1:])))
                 else:
-                    seen = self._seen.setdefault(int(words[0]), {})
-                    seen[words[1].decode()] = float(words[2])
+                    seen = self._in_force_ms.setdefault(int(fields[0]), {})
+                    seen[fields[1].decode()] = float(fields[2])
                 self._changed.notify_all()
 
-    def last_ms(self, version: int) -> float:
-        """Returns when the last node had a version in force."""
+    def wait_last_ms(self, version: int) -> float:
+        """Waits until every node applied a version; returns the last time."""
 
         def _all() -> bool:
-            return len(self._seen.get(version, ())) == self.count
+            return len(self._in_force_ms.get(version, ())) == self.count
 
         with self._changed:
-            if not self._changed.wait_for(_all, _BOUND_S):
-                raise TimeoutError(f"version {version} is not everywhere")
-            return max(self._seen[version].values())
-
-    def sent(self) -> _Sent:
-        """Returns what all nodes have sent so far."""
+            if not self._changed.wait_for(_all, _TIMEOUT_S):
+                raise TimeoutError(
+                    f"version {version} is not in force everywhere"
+                )
+            return max(self._in_force_ms[version].values())
+
+    def read_totals(self) -> _Totals:
+        """Returns the totals over all nodes so far."""
         with self._changed:
-            self._answers.clear()
+            self._totals.clear()
         for process in self._processes:
             process.stdin.write(b"bytes\n")
             process.stdin.flush()
 
         def _all() -> bool:
-            return len(self._answers) == len(self._processes)
+            return len(self._totals) == len(self._processes)
 
         with self._changed:
-            if not self._changed.wait_for(_all, _BOUND_S):
-                raise TimeoutError("a process of nodes gave no answer")
-            rows = [attrs.astuple(a) for a in self._answers]
-        return _Sent(*(sum(column) for column in zip(*rows, strict=True)))
+            if not self._changed.wait_for(_all, _TIMEOUT_S):
+                raise TimeoutError("a follower process did not respond")
+            rows = [attrs.astuple(a) for a in self._totals]
+        return _Totals(*(sum(column) for column in zip(*rows, strict=True)))
 
     def close(self) -> None:
         """Ends every process."""
@@ -153,7 +158,7 @@
 
 
 def _publish(site: Site, number: int) -> float:
-    """Publishes one changed account; returns when the log had taken it."""
+    """Publishes a change of one account; returns when the log accepted it."""
     rules = site.bundle["client_accounts"]
     rules["account-7"]["streams"] = number
     path = site.folder / "bundle.toml"
@@ -161,34 +166,36 @@
     path.write_text(tomli_w.dumps(site.bundle))
     key = str(site.folder / "operator-0.key")
     options = site.log_options()
-    site.bundle_command(
+    site.run_bundle_command(
         "sign", str(path), "--key", key, "--out", str(record), *options
     )
     data = record.read_bytes()
     body = {"data": base64.b64encode(data).decode()}
-    answer = site.http(site.log_port, "POST", "/streams/caroblug.bundles", body)
-    if answer.status != 201:
-        raise RuntimeError(f"the log answered {answer.status}")
+    response = site.http(
+        site.log_port, "POST", "/streams/caroblug.bundles", body
+    )
+    if response.status != 201:
+        raise RuntimeError(f"log append failed: status {response.status}")
     return time.monotonic() * _MS_PER_S
 
 
-def _wait_ready(nodes: _Nodes) -> None:
-    end = time.monotonic() + _BOUND_S
-    while nodes.sent().ready < nodes.count:
+def _wait_ready(nodes: _FollowerFleet) -> None:
+    end = time.monotonic() + _TIMEOUT_S
+    while nodes.read_totals().ready < nodes.count:
         if time.monotonic() > end:
             raise TimeoutError("not all nodes are ready")
         time.sleep(0.5)
 
 
 @attrs.frozen
-class Spread:
-    """What one size gave.
+class SizeResult:
+    """Figures of one number of nodes.
 
     Attributes:
         last_ms: Median time to the last node.
-        change_bytes: Sent by a node for one change.
-        idle_bytes_s: Sent by a node in a second without a change.
-        idle_us_s: Processor time of a node in a second without a change.
+        change_bytes: Bytes that a node sends for one change.
+        idle_bytes_s: Bytes that an idle node sends per second.
+        idle_us_s: Processor time of an idle node, in µs per second.
     """
 
     last_ms: float
@@ -197,35 +204,35 @@
     idle_us_s: float
 
 
-def measure(count: int, changes: int) -> Spread:
-    """Measures one size."""
+def measure(count: int, changes: int) -> SizeResult:
+    """Measures a number of changes with a number of nodes."""
     with make_site() as site:
         site.start_platform()
         for number in range(_ACCOUNTS):
             name = f"account-{number}"
             key_hash = hash_key(f"{name}:key", f"{number:016x}")
             site.bundle["client_accounts"][name] = {"key_hashes": [key_hash]}
-        nodes = _Nodes(site, count)
+        nodes = _FollowerFleet(site, count)
         try:
             _publish(site, 1)
-            nodes.last_ms(1)
+            nodes.wait_last_ms(1)
             _wait_ready(nodes)
             time.sleep(_IDLE_S)
-            first = nodes.sent()
+            first = nodes.read_totals()
             time.sleep(_IDLE_S)
-            idle = nodes.sent().per_node(first, count)
+            idle = nodes.read_totals().per_node(first, count)
             times = []
-            before, began = nodes.sent(), time.monotonic()
+            before, began = nodes.read_totals(), time.monotonic()
             for number in range(2, 2 + changes):
                 accepted_ms = _publish(site, number)
-                times.append(nodes.last_ms(number) - accepted_ms)
-            took_s = time.monotonic() - began
-            after = nodes.sent()
+                times.append(nodes.wait_last_ms(number) - accepted_ms)
+            duration_s = time.monotonic() - began
+            after = nodes.read_totals()
             change = after.per_node(before, count)
         finally:
             nodes.close()
     idle_bytes_s = idle.bytes / _IDLE_S
-    per_change = (change.bytes - idle_bytes_s * took_s) / changes
+    per_change = (change.bytes - idle_bytes_s * duration_s) / changes
     print(
         f"{count} nodes: last in force after "
         f"{[round(t) for t in times]} ms; "
@@ -237,7 +244,7 @@
         f"{after.links / count:.1f} connections per node",
         flush=True,
     )
-    return Spread(
+    return SizeResult(
         statistics.median(times),
         per_change,
         idle_bytes_s,
@@ -246,18 +253,18 @@
 
 
 def main() -> None:
-    """Measures all sizes."""
+    """Measures all sizes and prints the result."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--sizes", type=int, nargs="+", default=_SIZES)
     parser.add_argument("--changes", type=int, default=_CHANGES)
     options = parser.parse_args()
     figures = {}
     for count in options.sizes:
-        spread = measure(count, options.changes)
-        figures[f"p100_ms_{count}"] = round(spread.last_ms, 1)
-    figures["bytes_per_node"] = round(spread.change_bytes)
-    figures["idle_bytes_per_s"] = round(spread.idle_bytes_s, 1)
-    figures["idle_us_per_s"] = round(spread.idle_us_s)
+        result = measure(count, options.changes)
+        figures[f"p100_ms_{count}"] = round(result.last_ms, 1)
+    figures["bytes_per_node"] = round(result.change_bytes)
+    figures["idle_bytes_per_s"] = round(result.idle_bytes_s, 1)
+    figures["idle_us_per_s"] = round(result.idle_us_s)
     print_result(Result("bundle_spread", options.changes, figures))
 
 
--- a/benchmarks/log_outage.py
+++ b/benchmarks/log_outage.py
@@ -1,13 +1,14 @@
-"""What is served while the log is down, and how long until all is normal.
-
-Over real processes, one client account in closed loops: streamed
-completions, calls that may be repeated, and calls with a key that may not.
-`served_share` is the mean of the three kinds' shares answered while the log
-is down: a refusal comes at once, so that a common share would count speed;
-`normal_after_ms` is the time from the log's return until a call that may not
-be repeated is answered and a bundle published at once is in force
-everywhere. The outage lasts 20 s by default, not the 60 s of the aim, so
-that three runs stay short; `--outage-s 60` gives the whole.
+"""Availability during an outage of the log, and the time to recover from it.
+
+One client account sends three kinds of requests in closed loops over real
+processes: completions, calls that may be repeated, and calls with a key, which
+may not. `served_share` is the mean of the shares of each kind that succeed
+during the outage. It is not the share over all requests, because refusals are
+fast and would weight a kind by its speed. `normal_after_ms` is the time from
+the end of the outage until a call with a key succeeds and all instances apply
+a bundle that was published right after the outage. The outage lasts 20 s by
+default instead of the target's 60 s, so that three runs stay short;
+`--outage-s 60` runs the full duration.
 """
 
 import argparse
@@ -28,7 +29,7 @@
 
 _RUNS = 3
 _OUTAGE_S = 20
-_BOUND_S = 60.0
+_TIMEOUT_S = 60.0
 _POLL_S = 0.02
 _MS_PER_S = 1000
 _KINDS = ("stream", "repeatable", "once")
@@ -38,12 +39,14 @@
 
 @attrs.define
 class _Tally:
-    asked: int = 0
+    """Number of sent and of successful requests of one kind."""
+
+    total_requests: int = 0
     served: int = 0
 
 
 class _Callers:
-    """One closed loop for each kind of request."""
+    """Closed loops, one for each kind of request."""
 
     def __init__(self, site: Site) -> None:
         self._site = site
@@ -60,18 +63,18 @@
         """Ends the loops."""
         self._stopped.set()
         for thread in self._threads:
-            thread.join(_BOUND_S)
+            thread.join(_TIMEOUT_S)
 
     def _loop(self, kind: str) -> None:
         while not self._stopped.is_set():
-            served = ask(self._site, kind)
-            self.tallies[kind].asked += 1
+            served = send_request(self._site, kind)
+            self.tallies[kind].total_requests += 1
             self.tallies[kind].served += served
             time.sleep(_POLL_S)
 
 
-def ask(site: Site, kind: str) -> bool:
-    """Makes one request; returns whether it was answered."""
+def send_request(site: Site, kind: str) -> bool:
+    """Sends one request and returns whether it succeeded."""
     try:
         if kind == "stream":
             body = {
@@ -80,12 +83,12 @@
                 "max_tokens": 8,
             }
             path = "/v1/chat/completions"
-            answer = site.call("entry-a", "school-1", "POST", path, body)
+            response = site.call("entry-a", "school-1", "POST", path, body)
         else:
-            answer = _call_booking(site, kind)
+            response = _call_booking(site, kind)
     except ConnectionError:
         return False
-    return answer.status < 400
+    return response.status < 400
 
 
 def _call_booking(site: Site, kind: str) -> HttpResponse:
@@ -97,13 +100,13 @@
 
 
 def _sign_next(site: Site) -> dict[str, str]:
-    """Signs a new version; returns the log's append of it."""
+    """Signs a new bundle version; returns the body of its append request."""
     path = site.folder / "next.toml"
     record = site.folder / "next.record"
     site.bundle["limits"]["max_tokens"] = 99
     path.write_text(tomli_w.dumps(site.bundle))
     key = str(site.folder / "operator-0.key")
-    site.bundle_command(
+    site.run_bundle_command(
         "sign",
         str(path),
         "--key",
@@ -121,28 +124,46 @@
 
 
 def _normal_after_ms(site: Site, version: int, append: dict[str, str]) -> float:
-    """Returns the time until all is as before the outage."""
-    began = time.monotonic()
+    """Publishes a bundle after the outage and waits for normal service.
+
+    Args:
+        site: The running site.
+        version: Version of the bundle.
+        append: Body of the append request.
+
+    Returns:
+        The time until a call with a key succeeds and all instances apply the
+        bundle, in ms.
+    """
+    start_s = time.monotonic()
     names = [
         p.name for p in site.processes.values() if p.role in ("entry", "side")
     ]
     path = f"/streams/{BUNDLE_STREAM}"
     site.http(site.log_port, "POST", path, append)
-    while not ask(site, "once"):
+    while not send_request(site, "once"):
         time.sleep(_POLL_S)
     while any(_version(site, name) < version for name in names):
         time.sleep(_POLL_S)
-        if time.monotonic() - began > _BOUND_S:
-            raise TimeoutError("not normal after the outage")
-    return (time.monotonic() - began) * _MS_PER_S
+        if time.monotonic() - start_s > _TIMEOUT_S:
+            raise TimeoutError("not all instances have the new bundle version")
+    return (time.monotonic() - start_s) * _MS_PER_S
 
 
 def measure(outage_s: float) -> tuple[dict[str, float], float]:
-    """Returns the share served by kind, and the time until normal."""
+    """Measures one outage.
+
+    Args:
+        outage_s: Duration of the outage.
+
+    Returns:
+        The share of successful requests by kind, with their mean as `all`,
+        and the time until normal service in ms.
+    """
     with make_site() as site:
         demo.start(site)
-        if not all(ask(site, kind) for kind in _KINDS):
-            raise RuntimeError("not all is served before the outage")
+        if not all(send_request(site, kind) for kind in _KINDS):
+            raise RuntimeError("a request failed before the outage")
         append = _sign_next(site)
         site.control("log", {"down": True})
         callers = _Callers(site)
@@ -150,12 +171,14 @@
         callers.stop()
         site.control("log", {"down": False})
         normal_ms = _normal_after_ms(site, 2, append)
-    shares = {k: t.served / t.asked for k, t in callers.tallies.items()}
+    shares = {
+        k: t.served / t.total_requests for k, t in callers.tallies.items()
+    }
     return {**shares, "all": statistics.mean(shares.values())}, normal_ms
 
 
 def main() -> None:
-    """Measures several outages."""
+    """Measures several outages and prints the result."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--runs", type=int, default=_RUNS)
     parser.add_argument("--outage-s", type=float, default=_OUTAGE_S)
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -1,10 +1,10 @@
-"""Recovery: from a fault to the caller's next token.
+"""Time from a fault to the client's next token.
 
-Twelve streams run over three stages' worth of engines in two data centres;
-then one fault strikes a stage that some of them use. The time is taken at
-the callers: from the fault to the first token after the gap, for each stream
-that had to be recovered. The baseline begins each such stream afresh on a
-new chain.
+Twelve streams run over engines of three stages in two data centres. Then a
+fault is injected into a stage that some of the streams use. For each stream
+that has to be recovered, the time from the fault to the first token after the
+gap is measured at the client. The baseline restarts each such stream on a new
+chain.
 """
 
 import random
@@ -30,29 +30,30 @@
 _STREAMS = 12
 _TOKENS = 200
 _PROMPT_WORDS = 200
-_BEFORE_FAULT = 30
+_CHUNKS_BEFORE_FAULT = 30
 _ACCOUNT = "school-1"
-_BOUNDS = ((0, 8), (8, 16), (16, 24))
+_STAGE_BOUNDS = ((0, 8), (8, 16), (16, 24))
 _TARGET = "side-a-1"
-_SECOND = "side-a-2"
-_FEEDERS = ("side-a-0", "side-b-0")
-_SOON_S = 1.0
-_LEAST_GAP_S = 0.1
+_SECOND_TARGET = "side-a-2"
+_UPSTREAM_SIDES = ("side-a-0", "side-b-0")
+_GAP_START_WINDOW_S = 1.0
+_MIN_GAP_S = 0.1
 _MS_PER_S = 1000
 _FAULTS = ("crash", "freeze", "cut", "silent", "double")
-_PERCENT = 0.95
+_P95 = 0.95
 
 
 @attrs.define
-class Outcome:
-    """What one fault did.
+class FaultOutcome:
+    """Effects of one or more faults.
 
     Attributes:
-        recovery_ms: Fault to next token, for each stream that was struck.
-        recomputed: Layer runs beyond once for each position, in tokens.
-        disturbed: Streams given another attempt though their stages lived.
-        untouched: Streams whose stages all lived.
-        wrong: Streams without the whole right answer.
+        recovery_ms: Time from the fault to the next token, for each affected
+            stream.
+        recomputed: Layer runs beyond one per position, in tokens.
+        disturbed: Number of unaffected streams that had another attempt.
+        untouched: Number of streams whose stages did not fail.
+        wrong: Number of streams without the complete, correct text.
     """
 
     recovery_ms: list[float] = attrs.field(factory=list)
@@ -61,8 +62,8 @@
     untouched: int = 0
     wrong: int = 0
 
-    def add(self, other: "Outcome") -> None:
-        """Adds another fault's numbers."""
+    def add(self, other: "FaultOutcome") -> None:
+        """Adds the numbers of another fault."""
         self.recovery_ms += other.recovery_ms
         self.recomputed += other.recomputed
         self.disturbed += other.disturbed
@@ -70,13 +71,18 @@
         self.wrong += other.wrong
 
 
-def start_site(site: Site, way: str) -> None:
-    """Starts engines of three stages, each twice, and an entry."""
+def start_site(site: Site, policy: str) -> None:
+    """Starts engines of three stages in two data centres, and an entry.
+
+    Args:
+        site: The site.
+        policy: Recovery policy of the entry.
+    """
     site.start_platform()
     site.add_account(_ACCOUNT, streams=1000)
     site.publish()
     for place in ("a", "b"):
-        for number, (first, end) in enumerate(_BOUNDS):
+        for number, (first, end) in enumerate(_STAGE_BOUNDS):
             name = f"{place}-{number}"
             site.start_engine(
                 EngineSpec(
@@ -85,14 +91,16 @@
                     first_layer=first,
                     end_layer=end,
                     options=("--step-ms=4",),
-                    side={"relay": f"side-{name}" in (_TARGET, *_FEEDERS)},
+                    side={
+                        "relay": f"side-{name}" in (_TARGET, *_UPSTREAM_SIDES)
+                    },
                 )
             )
     site.start_entry(
         EntrySpec(
             name="entry-a",
             data_centre="muscat-a",
-            settings={"recovery": way},
+            settings={"recovery": policy},
         )
     )
     site.wait_ready()
@@ -107,45 +115,45 @@
 
 
 def _cut(site: Site) -> None:
-    """Cuts the target off from those who feed it, not from the entry."""
-    _order_links(site, "cut")
+    """Cuts the links from the target to upstream sides, not to the entry."""
+    _control_links(site, "cut")
 
 
-def _order_links(site: Site, order: str) -> None:
-    for name in _FEEDERS:
+def _control_links(site: Site, order: str) -> None:
+    for name in _UPSTREAM_SIDES:
         site.control(f"relay-{_TARGET}", {order: name})
         site.control(f"relay-{name}", {order: _TARGET})
 
 
-def _silent(site: Site) -> None:
-    """Silences every open connection between the target and its feeders.
+def _silence(site: Site) -> None:
+    """Silences all connections between the target and its upstream sides.
 
-    Either end may have dialled it, so the relays of both are told.
+    Either end may have opened a connection, so the relays of both are set.
     """
     site.control(f"relay-{_TARGET}", {"silence": "*"})
-    for name in _FEEDERS:
+    for name in _UPSTREAM_SIDES:
         site.control(f"relay-{name}", {"silence": _TARGET})
 
 
 def _double(site: Site) -> None:
     site.processes[_TARGET].signal(signal.SIGSTOP)
-    site.processes[_SECOND].kill()
+    site.processes[_SECOND_TARGET].kill()
 
 
-_STRIKE: Mapping[str, Callable[[Site], None]] = {
+_INJECT: Mapping[str, Callable[[Site], None]] = {
     "crash": _crash,
     "freeze": _freeze,
     "cut": _cut,
-    "silent": _silent,
+    "silent": _silence,
     "double": _double,
 }
 
 
-def _heal(site: Site) -> None:
-    """Makes the site whole again after a fault."""
+def _repair(site: Site) -> None:
+    """Repairs a fault and waits until no stream is left."""
     site.processes[_TARGET].signal(signal.SIGCONT)
-    _order_links(site, "heal")
-    for name in (_TARGET, _SECOND):
+    _control_links(site, "heal")
+    for name in (_TARGET, _SECOND_TARGET):
         if site.processes[name].popen.poll() is not None:
             site.restart(name)
     site.wait_ready()
@@ -158,9 +166,15 @@
     )
 
 
-def run_fault(site: Site, fault: str, generator: random.Random) -> Outcome:
-    """Strikes a running site once and reads what happened."""
-    ran = _layers_run(site)
+def run_fault(site: Site, fault: str, generator: random.Random) -> FaultOutcome:
+    """Injects one fault while streams run and returns its effects.
+
+    Args:
+        site: The running site.
+        fault: Name of the fault.
+        generator: Random source of the requests.
+    """
+    layers_before = _layers_run(site)
     callers = [
         Caller(
             site,
@@ -173,39 +187,39 @@
         for _ in range(_STREAMS)
     ]
     for caller in callers:
-        caller.wait_parts(_BEFORE_FAULT)
+        caller.wait_for_chunks(_CHUNKS_BEFORE_FAULT)
     fault_s = time.monotonic()
-    _STRIKE[fault](site)
+    _INJECT[fault](site)
     for caller in callers:
         caller.join()
-    outcome = _read(site, callers, fault_s, fault)
-    _heal(site)
+    outcome = _evaluate(site, callers, fault_s, fault)
+    _repair(site)
     layers = site.bundle["models"][MODEL]["layers"]
     needed = sum(len(c.prompt_tokens()) + _TOKENS - 1 for c in callers)
-    outcome.recomputed = (_layers_run(site) - ran) / layers - needed
+    outcome.recomputed = (_layers_run(site) - layers_before) / layers - needed
     return outcome
 
 
-def _read(
+def _evaluate(
     site: Site, callers: list[Caller], fault_s: float, fault: str
-) -> Outcome:
-    lost = {_TARGET, _SECOND} if fault == "double" else {_TARGET}
+) -> FaultOutcome:
+    lost = {_TARGET, _SECOND_TARGET} if fault == "double" else {_TARGET}
     excluded = _excluded_by_stream(site)
-    outcome = Outcome()
+    outcome = FaultOutcome()
     for caller in callers:
-        outcome.wrong += not caller.right
-        struck = excluded.get(caller.stream, set()) & lost
+        outcome.wrong += not caller.is_correct
+        affected = excluded.get(caller.stream, set()) & lost
         gap_ms = _gap_ms(caller, fault_s)
-        if struck or (fault == "silent" and gap_ms):
+        if affected or (fault == "silent" and gap_ms):
             outcome.recovery_ms.append(gap_ms)
-        if not struck:
+        if not affected:
             outcome.untouched += 1
             outcome.disturbed += caller.stream in excluded
     return outcome
 
 
 def _excluded_by_stream(site: Site) -> dict[str, set[str]]:
-    """Reads the entry's log lines about further attempts."""
+    """Returns the excluded instances by stream, from the entry's log."""
     excluded: dict[str, set[str]] = {}
     for line in (site.folder / "entry-a.log").read_bytes().splitlines():
         if b"stream.attempt" not in line:
@@ -216,42 +230,42 @@
 
 
 def _gap_ms(caller: Caller, fault_s: float) -> float:
-    """Returns the time from the fault to the end of the gap it made.
+    """Returns the time from the fault to the end of the gap that it caused.
 
-    That is the longest gap of those that began soon after the fault; 0 if
-    none was longer than tokens usually are apart.
+    This is the longest gap that began shortly after the fault; 0 if that gap
+    is no longer than the usual time between tokens.
     """
     times = [s for s in caller.arrivals if s > fault_s]
     pairs = zip([fault_s, *times], times, strict=False)
-    gaps = [p for p in pairs if p[0] - fault_s < _SOON_S]
+    gaps = [p for p in pairs if p[0] - fault_s < _GAP_START_WINDOW_S]
     begin, end = max(gaps, key=lambda pair: pair[1] - pair[0])
-    if end - begin < _LEAST_GAP_S:
+    if end - begin < _MIN_GAP_S:
         return 0.0
     return (end - fault_s) * _MS_PER_S
 
 
 def _layers_run(site: Site) -> int:
-    """Returns how often engines have run a layer for a position."""
+    """Returns the number of (layer, position) pairs that engines have run."""
     return sum(
-        site.observe(name)["layers_run"]
+        site.read_counters(name)["layers_run"]
         for name, process in site.processes.items()
         if process.role == "engine"
     )
 
 
-def measure(way: str) -> dict[str, float]:
-    """Returns the figures of one way of recovery."""
+def measure(policy: str) -> dict[str, float]:
+    """Returns the figures of one recovery policy."""
     p95: dict[str, list[float]] = {fault: [] for fault in _FAULTS}
-    total = Outcome()
+    total = FaultOutcome()
     for seed in _SEEDS:
         generator = random.Random(seed)
         with make_site() as site:
-            start_site(site, way)
+            start_site(site, policy)
             for fault in _FAULTS:
                 outcome = run_fault(site, fault, generator)
                 total.add(outcome)
                 p95[fault].append(_p95(outcome.recovery_ms))
-                _show(way, fault, seed, outcome)
+                _print_outcome(policy, fault, seed, outcome)
     figures = {
         f"{fault}_p95_ms": round(statistics.median(values), 1)
         for fault, values in p95.items()
@@ -265,10 +279,12 @@
     return figures
 
 
-def _show(way: str, fault: str, seed: int, outcome: Outcome) -> None:
+def _print_outcome(
+    policy: str, fault: str, seed: int, outcome: FaultOutcome
+) -> None:
     print(
-        f"{way} {fault} seed {seed}: "
-        f"{len(outcome.recovery_ms)} of {_STREAMS} struck, "
+        f"{policy} {fault} seed {seed}: "
+        f"{len(outcome.recovery_ms)} of {_STREAMS} affected, "
         f"p50 {_median(outcome.recovery_ms):.0f} ms, "
         f"p95 {_p95(outcome.recovery_ms):.0f} ms, "
         f"recomputed {outcome.recomputed:.0f} tokens, "
@@ -282,7 +298,7 @@
     if not values:
         return 0.0
     ranked = sorted(values)
-    return ranked[min(len(ranked) - 1, int(_PERCENT * len(ranked)))]
+    return ranked[min(len(ranked) - 1, int(_P95 * len(ranked)))]
 
 
 def _median(values: list[float]) -> float:
@@ -290,7 +306,7 @@
 
 
 def main() -> None:
-    """Measures both ways and prints the result."""
+    """Measures both policies and prints the result."""
     figures = measure("replace_stage")
     baselines = {"full_prefill": measure("full_prefill")}
     print_result(Result("recovery", len(_SEEDS), figures, baselines))
--- a/standins/operator.py
+++ b/standins/operator.py
@@ -1,8 +1,9 @@
-"""An operator who publishes round after round, as one process.
+"""Publishes bundles repeatedly from one process, as an operator would.
 
-Reads orders from standard input, one a line: `sign VALUE` makes a record on
-the log's head, `publish` appends it. After each it prints the exit code of
-`caroblug-bundle` and, after a tab, what that printed, on one line.
+Reads commands from standard input, one per line: `sign VALUE` signs a bundle
+with that `max_tokens` on top of the log's head, `publish` appends it. After
+each command it prints one line: the exit code of `caroblug-bundle`, a tab and
+the output.
 """
 
 from gevent import monkey
@@ -19,7 +20,7 @@
 from caroblug.bundle import run
 
 
-def _call(arguments: list[str]) -> str:
+def _run_command(arguments: list[str]) -> str:
     output = io.StringIO()
     with contextlib.redirect_stdout(output), contextlib.redirect_stderr(output):
         code = run(arguments)
@@ -27,7 +28,7 @@
 
 
 def main() -> None:
-    """Takes a folder, a key and the options for the log."""
+    """Runs the commands; arguments: folder, key file and log options."""
     folder, key, *options = sys.argv[1:]
     bundle = pathlib.Path(folder, f"{pathlib.Path(key).stem}.toml")
     record = bundle.with_suffix(".record")
@@ -40,7 +41,7 @@
             command = ["sign", str(bundle), "--key", key, "--out", str(record)]
         else:
             command = ["publish", str(record)]
-        print(_call([*command, *options]), flush=True)
+        print(_run_command([*command, *options]), flush=True)
 
 
 if __name__ == "__main__":
--- a/standins/supervisor.py
+++ b/standins/supervisor.py
@@ -1,4 +1,4 @@
-"""The platform's part after a crash: starts backend servers again."""
+"""Restarts crashed backend servers, as the platform does."""
 
 import gevent
 
@@ -9,22 +9,25 @@
 
 
 class Supervisor:
-    """Restarts engines and plain services that have ended, and counts them.
+    """Restarts engines and plain services that have ended.
 
     Args:
         site: The running site.
-        pause_s: Time until a server that has ended is started again.
+        restart_delay_s: Time between the end of a server and its restart.
+
+    Attributes:
+        crashes: Number of servers that have ended.
     """
 
-    def __init__(self, site: Site, pause_s: float = 0.3) -> None:
+    def __init__(self, site: Site, restart_delay_s: float = 0.3) -> None:
         self.crashes = 0
         self._site = site
-        self._pause_s = pause_s
-        self._watch = gevent.spawn(self._run)
+        self._restart_delay_s = restart_delay_s
+        self._greenlet = gevent.spawn(self._run)
 
     def stop(self) -> None:
-        """Restarts nothing any more."""
-        self._watch.kill()
+        """Stops restarting servers."""
+        self._greenlet.kill()
 
     def _run(self) -> None:
         while True:
@@ -33,5 +36,5 @@
                 if process.role not in _ROLES or process.popen.poll() is None:
                     continue
                 self.crashes += 1
-                gevent.sleep(self._pause_s)
+                gevent.sleep(self._restart_delay_s)
                 self._site.restart(process.name)
