--- a/caroblug/gateway/_crash_suspicions.py
+++ b/caroblug/gateway/_crash_suspicions.py
@@ -17,8 +17,9 @@
 
 QUARANTINE_CRASHES = 3
 """Crashes after which a request is quarantined. With two, a request hit by two
-unrelated crashes would be quarantined, which on a bad day happens to about one
-request in a thousand; with four, each such request crashes a fourth engine."""
+unrelated crashes would be quarantined, which on a bad day happens to one
+request in several thousand; with four, each such request crashes a fourth
+engine."""
 
 _SUSPICION_TTL_MS = 120_000
 """Time for which a suspicion counts; callers retry within their deadline of
