--- a/caroblug/bundle/_log.py
+++ b/caroblug/bundle/_log.py
@@ -99,10 +99,13 @@
         return self._fold.missing is not None
 
     def table(self, digest: str) -> dict[str, Any] | None:
-        """Returns the bundle with a digest that was the head at some offset.
+        """Returns a current or earlier head as a parsed bundle.
+
+        Args:
+            digest: Digest of the head.
 
         Returns:
-            The parsed bundle; None if no head with this digest was read.
+            The parsed bundle; None if the log that was read has no such head.
         """
         return self._tables.get(digest)
 
--- a/caroblug/core/routing/_subset.py
+++ b/caroblug/core/routing/_subset.py
@@ -71,7 +71,7 @@
 def choose_instances_to_probe(
     owner: str, unknown: Iterable[str], count: int
 ) -> frozenset[str]:
-    """Returns the instances to ask next for what they serve.
+    """Returns the instances to connect to next, to learn their kind.
 
     Args:
         owner: Name of the entry.
--- a/caroblug/core/state/_dissemination.py
+++ b/caroblug/core/state/_dissemination.py
@@ -80,8 +80,8 @@
     Four neighbours are in the instance's own data centre. Connections work in
     both directions, so a group is isolated only if all of its members choose
     neighbours within it. For eight instances in two halves, the probability
-    is below 1e-10. One more neighbour is in another data centre, or as many as
-    are missing to the number of peers that an instance needs in an outage of
+    is below 1e-10. One more neighbour is in another data centre, or more if
+    the instance would otherwise have fewer peers than it needs in an outage of
     the log. All neighbours have the same role, because entries connect to
     side processes anyway and close the connections that they do not need.
     """
--- a/caroblug/core/state/_fold.py
+++ b/caroblug/core/state/_fold.py
@@ -166,8 +166,9 @@
     def order_known(self) -> bool:
         """Whether the head's place in the order of the log is certain.
 
-        It is after every record was read in order, or after a record that
-        names the head as its parent.
+        It is certain while every record is read in order. After a gap or a
+        head from a peer or a snapshot, it becomes certain with the next record
+        that names the head as its parent.
         """
         return self._order_known
 
--- a/caroblug/core/state/_owner.py
+++ b/caroblug/core/state/_owner.py
@@ -298,7 +298,7 @@
         return decided
 
     def on_append_failed(self) -> list[Decided]:
-        """Gives up all intents after a failed append.
+        """Gives up the intents that are queued or in the failed append.
 
         The caller has read the log back without finding the batch, but the
         append may still take effect. The next batch therefore voids its
--- a/caroblug/core/state/tests/test_fold_machine.py
+++ b/caroblug/core/state/tests/test_fold_machine.py
@@ -36,7 +36,7 @@
 
 
 class FoldMachine(RuleBasedStateMachine):
-    """State machine of four readers, several operators and one log.
+    """State machine of four readers and one log with competing records.
 
     `_truth` folds every append at once and so knows the order of the log.
     Records expire only up to the last complete copy of the head, unless all
--- a/caroblug/entry/_chain_picker.py
+++ b/caroblug/entry/_chain_picker.py
@@ -234,7 +234,11 @@
 def _replacement_cost(
     engine: EngineView, neighbours: list[str | None]
 ) -> tuple[int, float]:
-    """Returns a replacement's cost: remote neighbours first, then load."""
+    """Returns the sort key of a candidate; the lowest is the best.
+
+    The number of neighbours in other data centres counts first, then the
+    expected time of a step.
+    """
     remote_neighbours = sum(
         neighbour not in (None, engine.data_centre) for neighbour in neighbours
     )
--- a/caroblug/entry/_wait_estimator.py
+++ b/caroblug/entry/_wait_estimator.py
@@ -10,6 +10,8 @@
 
 @attrs.frozen
 class _EngineReport:
+    """The load that an engine last reported, and when it expires."""
+
     model: str
     load: EngineLoad
     expires_ms: int
--- a/caroblug/side/_batch_scheduler.py
+++ b/caroblug/side/_batch_scheduler.py
@@ -41,6 +41,8 @@
 
 @attrs.define
 class _QueuedItem:
+    """An item that waits to be sent to the engine."""
+
     item: EngineItem
     client_account: str
     cost: float
@@ -266,7 +268,7 @@
             self._on_call_done(items, outcome)
 
     def _next_items(self) -> list[EngineItem]:
-        """Returns the items of the next batch, or the item of a suspect."""
+        """Returns the next batch, or one item that must run in isolation."""
         source = self._suspects.next_source(
             self._occupancy.items, len(self._queue)
         )
@@ -351,7 +353,10 @@
     def _add_held_chunks(
         self, items: list[EngineItem], free_positions: int
     ) -> None:
-        """Extends items by held chunks of their streams; the queue is empty."""
+        """Extends items by held chunks of the same streams.
+
+        This fills a batch when no other item is queued.
+        """
         for index, item in enumerate(items):
             held = self._held_items[item.session]
             while held and len(held[0].item.inputs) <= free_positions:
--- a/caroblug/side/_engine_occupancy.py
+++ b/caroblug/side/_engine_occupancy.py
@@ -56,7 +56,7 @@
         self._positions_by_account[self._account_of[session]] += positions
 
     def begin_call(self, items: Sequence[EngineItem]) -> None:
-        """Counts the items of a call that starts."""
+        """Counts the items of a starting call, which have one priority."""
         self.items += len(items)
         for item in items:
             self._positions[item.priority] += len(item.inputs)
