--- a/caroblug/bundle/_fleet.py
+++ b/caroblug/bundle/_fleet.py
@@ -52,10 +52,10 @@
         record.host, record.http_port, _STATUS_TIMEOUT_MS, 1
     )
     try:
-        answer = client.request("GET", "/status")
-        if not isinstance(answer, HttpResponse):
+        response = client.request("GET", "/status")
+        if not isinstance(response, HttpResponse):
             return InstanceStatus(record, answered=False)
-        body = answer.json()
+        body = response.json()
         return InstanceStatus(
             record,
             body["instance"] == record.instance,
--- a/caroblug/bundle/_log.py
+++ b/caroblug/bundle/_log.py
@@ -184,9 +184,9 @@
             failed = self.read()
             if failed is not None:
                 return failed
-            verdict = self._find_result(record)
-            if verdict is not None:
-                return verdict
+            result = self._find_result(record)
+            if result is not None:
+                return result
         return None
 
     def _find_result(
--- a/caroblug/core/routing/_flow.py
+++ b/caroblug/core/routing/_flow.py
@@ -192,8 +192,8 @@
     groups: dict[FlowNode, dict[EngineGroup, float]] = {}
     links: dict[FlowNode, dict[str, float]] = {}
     starts = {
-        place.data_centre: units / _UNITS_PER_TOKEN
-        for place, units in flow[_SOURCE].items()
+        start.data_centre: units / _UNITS_PER_TOKEN
+        for start, units in flow[_SOURCE].items()
         if units
     }
     for node, targets in flow.items():
--- a/caroblug/core/state/_dissemination.py
+++ b/caroblug/core/state/_dissemination.py
@@ -111,13 +111,13 @@
         self._neighbours: tuple[Member, ...] = ()
         self._adverts: dict[str, Advert] = {}
         self._head = Advert(0)
-        self._fetching = ""
-        self._fetch_ms = 0
-        self._tried: set[str] = set()
+        self._fetching_peer = ""
+        self._last_progress_ms = 0
+        self._tried_peers: set[str] = set()
         self._log_read_ms = now_ms - _UNKNOWN_AGE_MS
         self._has_read_log = False
         self._log_failed = False
-        self._retry_ms = now_ms
+        self._next_read_ms = now_ms
         self._backoff_ms = _STALE_LOG_MS
 
     @property
@@ -173,8 +173,8 @@
     def on_head(self, version: int, digest: str, offset: int) -> None:
         """Notes the head that is now in force at this instance."""
         self._head = Advert(version, digest, offset)
-        self._fetching = ""
-        self._tried.clear()
+        self._fetching_peer = ""
+        self._tried_peers.clear()
 
     def on_advert(self, peer: str, advert: Advert, now_ms: int) -> Fetch | None:
         """Notes the advert of a peer; returns the next fetch, if any."""
@@ -186,28 +186,28 @@
 
     def on_fetch_failed(self, peer: str, now_ms: int) -> Fetch | None:
         """Notes that a fetch failed; returns the next fetch, if any."""
-        self._tried.add(peer)
-        if self._fetching == peer:
-            self._fetching = ""
+        self._tried_peers.add(peer)
+        if self._fetching_peer == peer:
+            self._fetching_peer = ""
         return self._next_fetch(now_ms)
 
     def on_peer_lost(self, peer: str, now_ms: int) -> Fetch | None:
         """Removes the advert of a lost peer; returns the next fetch, if any."""
         self._adverts.pop(peer, None)
-        if self._fetching == peer:
-            self._fetching = ""
+        if self._fetching_peer == peer:
+            self._fetching_peer = ""
         return self._next_fetch(now_ms)
 
     def on_progress(self, peer: str, now_ms: int) -> None:
         """Restarts the fetch timeout after a part of the answer arrived."""
-        if self._fetching == peer:
-            self._fetch_ms = now_ms
+        if self._fetching_peer == peer:
+            self._last_progress_ms = now_ms
 
     def on_tick(self, now_ms: int) -> Fetch | None:
         """Checks the fetch timeout; returns the next fetch, if any."""
-        timed_out = now_ms - self._fetch_ms >= _FETCH_TIMEOUT_MS
-        if self._fetching and timed_out:
-            return self.on_fetch_failed(self._fetching, now_ms)
+        timed_out = now_ms - self._last_progress_ms >= _FETCH_TIMEOUT_MS
+        if self._fetching_peer and timed_out:
+            return self.on_fetch_failed(self._fetching_peer, now_ms)
         return self._next_fetch(now_ms)
 
     def on_log_end(self, now_ms: int) -> None:
@@ -216,13 +216,13 @@
         self._log_failed = False
         self._log_read_ms = now_ms
         self._backoff_ms = _STALE_LOG_MS
-        self._retry_ms = now_ms
+        self._next_read_ms = now_ms
 
     def on_log_failure(self, now_ms: int) -> None:
         """Schedules the next read after the log did not respond."""
         self._log_failed = True
         jitter_ms = self._rng.uniform(0, self._backoff_ms)
-        self._retry_ms = now_ms + int(self._backoff_ms + jitter_ms)
+        self._next_read_ms = now_ms + int(self._backoff_ms + jitter_ms)
         self._backoff_ms = min(2 * self._backoff_ms, _MAX_BACKOFF_MS)
 
     def should_read(self, now_ms: int) -> bool:
@@ -235,14 +235,14 @@
         """
         if self.is_reader or not self._has_read_log and not self._log_failed:
             return True
-        if now_ms < self._retry_ms:
+        if now_ms < self._next_read_ms:
             return False
         steps = min(self._rank, _MAX_STALE_STEPS)
         age_ms = now_ms - self._log_read_ms
         return age_ms >= _STALE_LOG_MS + steps * _STALE_LOG_STEP_MS
 
     def _next_fetch(self, now_ms: int) -> Fetch | None:
-        if self._fetching:
+        if self._fetching_peer:
             return None
         newer = {
             peer: advert
@@ -251,12 +251,14 @@
         }
         if not newer:
             return None
-        if newer.keys() <= self._tried:
-            self._tried.clear()
+        if newer.keys() <= self._tried_peers:
+            self._tried_peers.clear()
             return None
-        peer = self._choose_newest(p for p in newer if p not in self._tried)
-        self._fetching = peer
-        self._fetch_ms = now_ms
+        peer = self._choose_newest(
+            p for p in newer if p not in self._tried_peers
+        )
+        self._fetching_peer = peer
+        self._last_progress_ms = now_ms
         return Fetch(peer, newer[peer].digest)
 
     def _choose_newest(self, peers: Iterable[str]) -> str:
--- a/caroblug/core/state/_intents.py
+++ b/caroblug/core/state/_intents.py
@@ -41,7 +41,7 @@
 
 
 @attrs.define
-class _Writer:
+class _LastBatch:
     """The last batch of a writer.
 
     Attributes:
@@ -66,7 +66,7 @@
         self._next_offset = 0
         self._horizon = 0
         self._keys: dict[bytes, IntentState] = {}
-        self._writers: dict[str, _Writer] = {}
+        self._last_batches: dict[str, _LastBatch] = {}
 
     def __len__(self) -> int:
         return len(self._keys)
@@ -87,7 +87,7 @@
 
     def has_batch(self, writer: str, sequence: int) -> bool:
         """Returns whether a writer's batch or a later one has been folded."""
-        last = self._writers.get(writer)
+        last = self._last_batches.get(writer)
         return last is not None and last.sequence >= sequence
 
     def on_record(self, offset: int, data: bytes) -> CallBatch | None:
@@ -122,10 +122,10 @@
         then its writer has given up the intents, and a caller may have got
         the response that the call did not run.
         """
-        last = self._writers.get(batch.writer)
+        last = self._last_batches.get(batch.writer)
         if last is None:
             writer = sys.intern(batch.writer)
-            self._writers[writer] = _Writer(batch.sequence, offset)
+            self._last_batches[writer] = _LastBatch(batch.sequence, offset)
             return False
         if batch.sequence <= last.sequence:
             return True
@@ -144,9 +144,11 @@
             if self._keys[key].offset >= horizon:
                 break
             self._drop_first_intent(key)
-        expired = [w for w, k in self._writers.items() if k.offset < horizon]
+        expired = [
+            w for w, b in self._last_batches.items() if b.offset < horizon
+        ]
         for writer in expired:
-            del self._writers[writer]
+            del self._last_batches[writer]
 
     def _drop_first_intent(self, key: bytes) -> None:
         """Drops the first intent of a key and makes the next one first.
--- a/caroblug/entry/_directory.py
+++ b/caroblug/entry/_directory.py
@@ -67,9 +67,9 @@
         """
         self._listed_leaving = frozenset(leaving)
         for instance in self._listed_leaving:
-            for view in (self._engines, self._plain_services):
-                if instance in view:
-                    view[instance].leaving = True
+            for views in (self._engines, self._plain_services):
+                if instance in views:
+                    views[instance].leaving = True
 
     def remove(self, instance: str) -> None:
         """Removes an instance whose connection is lost."""
--- a/caroblug/entry/_quarantine.py
+++ b/caroblug/entry/_quarantine.py
@@ -72,7 +72,7 @@
         self._gate = RunGate(_RUN_GATE_TERM_MS)
         self._entries: dict[str, PeerAddress] = {}
         self._requesters: dict[str, PeerAddress] = {}
-        self._last_number = 0
+        self._last_ticket_number = 0
         self._waiting: dict[Ticket, tuple[str, event.Event]] = {}
 
     def on_listed(self, entries: Iterable[PeerAddress]) -> None:
@@ -134,8 +134,8 @@
             return self.refusal(fingerprint, ExecutionStatus.NO) or Ticket(
                 "", 0
             )
-        self._last_number += 1
-        ticket = Ticket(self._home_entries.own, self._last_number)
+        self._last_ticket_number += 1
+        ticket = Ticket(self._home_entries.own, self._last_ticket_number)
         end_ms = self._clock.now_ms() + timeout_ms
         admitted = self._enter_at_home(
             fingerprint, client_account, ticket, timeout_ms
--- a/caroblug/entry/_stream_reader.py
+++ b/caroblug/entry/_stream_reader.py
@@ -16,7 +16,7 @@
 )
 
 _MS_PER_S = 1000
-_NOT_COUNTED_AS_BAD = {"answered", "cancelled", *CALLER_ERRORS}
+_OUTCOMES_WITHOUT_FAILURE = {"answered", "cancelled", *CALLER_ERRORS}
 _RETRY_AFTER_MS = 1000
 _DEADLINE_EXCEEDED = Refused(
     RefusalType.DEADLINE_EXCEEDED,
@@ -122,7 +122,7 @@
             group=self._group,
             outcome=outcome,
         )
-        if outcome not in _NOT_COUNTED_AS_BAD:
+        if outcome not in _OUTCOMES_WITHOUT_FAILURE:
             self._metrics.count_account_failure(
                 self.stream.request.client_account
             )
