--- a/caroblug/core/routing/tests/test_choosers.py
+++ b/caroblug/core/routing/tests/test_choosers.py
@@ -39,7 +39,7 @@
     return LAYERS in reached
 
 
-def _two_rows(rate_in_b=100.0, **more):
+def _make_two_chains(rate_in_b=100.0, **more):
     return [
         make_view("a0", "a", 0, 6, 100.0, **more),
         make_view("a1", "a", 6, 12, 100.0),
@@ -108,7 +108,7 @@
 
 def test_local_data_centre_is_preferred_until_it_is_overloaded():
     chooser = FlowChooser(random.Random(3))
-    views = _two_rows()
+    views = _make_two_chains()
     for _ in range(20):
         assert chooser.choose(views, LAYERS, "a").instances == ("a0", "a1")
     views[0].backlog = 200
@@ -129,7 +129,7 @@
         lambda *a, **k: calls.append(1) or original(*a, **k),
     )
     chooser = FlowChooser(random.Random(4))
-    views = _two_rows()
+    views = _make_two_chains()
     for _ in range(50):
         chooser.choose(views, LAYERS, "a", ("a0",))
         views[1].own_streams += 1
--- a/caroblug/core/state/tests/test_dissemination.py
+++ b/caroblug/core/state/tests/test_dissemination.py
@@ -17,12 +17,18 @@
 _NEW = Advert(2, "new", 7, 0)
 
 
-def _member(number, place="a"):
-    return Member(f"{place}-{number:03d}", "side", "10.0.0.1", 1, place)
-
-
-def _view(count, places=("a", "b", "c")):
-    members = [_member(n, place) for place in places for n in range(count)]
+def _member(number, data_centre="a"):
+    return Member(
+        f"{data_centre}-{number:03d}", "side", "10.0.0.1", 1, data_centre
+    )
+
+
+def _view(count, data_centres=("a", "b", "c")):
+    members = [
+        _member(n, data_centre)
+        for data_centre in data_centres
+        for n in range(count)
+    ]
     return MemberView(tuple(sorted(members, key=lambda m: m.instance)))
 
 
--- a/caroblug/core/state/tests/test_fold.py
+++ b/caroblug/core/state/tests/test_fold.py
@@ -28,26 +28,28 @@
 _OPERATOR = _KEY.public_key().public_bytes_raw().hex()
 
 
-def _record(layers, version, parent, known=()):
+def _make_record(layers, version, parent, known=()):
     table = {"models": {"dome-7b": {"layers": layers, "vocabulary": 512}}}
     record = make_record(split_sections(table), version, parent, known)
     return sign_record(record, _KEY.private_bytes_raw())
 
 
-def _fold():
+def _make_fold():
     return BundleFold([_OPERATOR], 1, [_SNAPSHOT_KEY])
 
 
-def _chain(count):
+def _make_chain(count):
     """Returns `count` records, each the child of the previous one."""
-    records = [_record(8, 1, "")]
+    records = [_make_record(8, 1, "")]
     while len(records) < count:
         last = records[-1]
-        records.append(_record(8 + len(records), last.version + 1, last.digest))
+        records.append(
+            _make_record(8 + len(records), last.version + 1, last.digest)
+        )
     return records
 
 
-def _page(fold, offset, records, end):
+def _read_page(fold, offset, records, end):
     entries = [LogEntry(offset + n, data) for n, data in enumerate(records)]
     return fold.on_page(entries, offset + len(records), end)
 
@@ -58,11 +60,11 @@
     Both records name the same parent. The first one in the log becomes the
     head, and the outcome of the other one names the winner.
     """
-    fold = _fold()
-    first = fold.on_record(encode_record(_record(8, 1, "")), 0)
+    fold = _make_fold()
+    first = fold.on_record(encode_record(_make_record(8, 1, "")), 0)
     assert isinstance(first, Applied)
-    winner = _record(9, 2, first.head.digest)
-    loser = _record(10, 2, first.head.digest)
+    winner = _make_record(9, 2, first.head.digest)
+    loser = _make_record(10, 2, first.head.digest)
     assert isinstance(fold.on_record(encode_record(winner), 1), Applied)
     outcome = fold.on_record(encode_record(loser), 2)
     assert outcome == Lost(loser.digest, 2, winner.digest)
@@ -74,12 +76,12 @@
     An operator uses a losing record as the parent. The child has the next
     version, but its parent is not the head.
     """
-    fold = _fold()
-    one, two = _chain(2)
-    loser = _record(99, 2, one.digest)
-    child = _record(98, 3, loser.digest)
+    fold = _make_fold()
+    one, two = _make_chain(2)
+    loser = _make_record(99, 2, one.digest)
+    child = _make_record(98, 3, loser.digest)
     records = [encode_record(r) for r in (one, two, loser, child)]
-    outcomes = _page(fold, 0, records, 4)
+    outcomes = _read_page(fold, 0, records, 4)
     assert outcomes[3] == Lost(child.digest, 2, two.digest)
     assert fold.head.digest == two.digest
 
@@ -89,17 +91,17 @@
 
     An old record with valid signatures is appended again; the head stays.
     """
-    fold = _fold()
-    old = _record(8, 1, "")
+    fold = _make_fold()
+    old = _make_record(8, 1, "")
     head = fold.on_record(encode_record(old), 0).head
-    fold.on_record(encode_record(_record(9, 2, head.digest)), 1)
+    fold.on_record(encode_record(_make_record(9, 2, head.digest)), 1)
     assert isinstance(fold.on_record(encode_record(old), 2), Ignored)
     assert fold.head.version == 2
 
 
 def test_unsigned_record_is_rejected():
     fold = BundleFold([_OPERATOR], 2)
-    outcome = fold.on_record(encode_record(_record(8, 1, "")), 0)
+    outcome = fold.on_record(encode_record(_make_record(8, 1, "")), 0)
     assert isinstance(outcome, Rejected)
     assert fold.head is None
 
@@ -122,12 +124,12 @@
     and names version 2 as its parent. The winner's snapshot comes later in
     the log and contains the offset at which the winner was accepted.
     """
-    one, two, winner = _chain(3)
-    loser = _record(99, 3, two.digest)
-    fold = _fold()
-    _page(fold, 0, [encode_record(one), encode_record(two)], 2)
+    one, two, winner = _make_chain(3)
+    loser = _make_record(99, 3, two.digest)
+    fold = _make_fold()
+    _read_page(fold, 0, [encode_record(one), encode_record(two)], 2)
     snapshot = encode_snapshot(Snapshot(winner, 2), _SNAPSHOT_KEY)
-    outcomes = _page(fold, 3, [encode_record(loser), snapshot], 5)
+    outcomes = _read_page(fold, 3, [encode_record(loser), snapshot], 5)
     assert isinstance(outcomes[0], Deferred)
     assert fold.head.digest == winner.digest
 
@@ -138,12 +140,12 @@
     Someone with write access to the log appends the loser as a snapshot with
     an early offset. Without the instances' key, the snapshot is not valid.
     """
-    one, two, winner = _chain(3)
-    loser = _record(99, 3, two.digest)
+    one, two, winner = _make_chain(3)
+    loser = _make_record(99, 3, two.digest)
     forged = encode_snapshot(Snapshot(loser, 0), b"another key")
     real = encode_snapshot(Snapshot(winner, 2), _SNAPSHOT_KEY)
-    fold = _fold()
-    _page(fold, 3, [forged, real], 5)
+    fold = _make_fold()
+    _read_page(fold, 3, [forged, real], 5)
     assert fold.head.digest == winner.digest
 
 
@@ -154,15 +156,15 @@
     the winner's snapshot. A new instance applies the loser. The snapshot
     corrects the head, and the next version then applies in order.
     """
-    one, two, winner, child = _chain(4)
-    loser = _record(99, 3, two.digest)
-    fold = _fold()
-    _page(fold, 9, [encode_record(loser)], 10)
+    one, two, winner, child = _make_chain(4)
+    loser = _make_record(99, 3, two.digest)
+    fold = _make_fold()
+    _read_page(fold, 9, [encode_record(loser)], 10)
     assert fold.head.digest == loser.digest
     snapshot = encode_snapshot(Snapshot(winner, 2), _SNAPSHOT_KEY)
-    _page(fold, 10, [snapshot], 11)
+    _read_page(fold, 10, [snapshot], 11)
     assert fold.head.digest == winner.digest
-    _page(fold, 11, [encode_record(child)], 12)
+    _read_page(fold, 11, [encode_record(child)], 12)
     assert fold.head.digest == child.digest
     assert fold.order_known
 
@@ -178,11 +180,11 @@
         "limits": {"max_tokens": 5},
     }
     sections = split_sections(table)
-    known = _record(8, 1, "").manifest.values()
+    known = _make_record(8, 1, "").manifest.values()
     record = make_record(sections, 2, "0" * 40, known)
     record = sign_record(record, _KEY.private_bytes_raw())
-    fold = _fold()
-    outcome = _page(fold, 5, [encode_record(record)], 6)[-1]
+    fold = _make_fold()
+    outcome = _read_page(fold, 5, [encode_record(record)], 6)[-1]
     assert isinstance(outcome, Missing)
     (key,) = outcome.hashes
     fold.on_sections({key: sections["models"]})
@@ -197,7 +199,7 @@
     All other instances have rejected it. An instance with a truncated history
     can't tell, and drops the record once no peer has the section.
     """
-    one, two = _chain(2)
+    one, two = _make_chain(2)
     broken = make_record(
         split_sections({"limits": {"max_tokens": 5}}),
         3,
@@ -206,17 +208,17 @@
     )
     broken = sign_record(broken, _KEY.private_bytes_raw())
     bare = encode_record(attrs.evolve(broken, sections={}))
-    fold = _fold()
+    fold = _make_fold()
     whole = encode_snapshot(Snapshot(two, 1), _SNAPSHOT_KEY)
-    _page(fold, 4, [whole, bare], 6)
+    _read_page(fold, 4, [whole, bare], 6)
     assert fold.missing is not None
     fold.discard_missing()
     assert fold.head.digest == two.digest
 
 
 def test_peer_head_is_applied_only_if_signed_and_newer():
-    one, two = _chain(2)
-    fold = _fold()
+    one, two = _make_chain(2)
+    fold = _make_fold()
     forged = attrs.evolve(two, signatures=())
     assert isinstance(fold.on_peer_head(forged, 1, two.sections), Rejected)
     assert isinstance(fold.on_peer_head(two, 1, two.sections), Applied)
@@ -227,7 +229,7 @@
 def test_unchanged_account_sections_are_not_parsed_again():
     accounts = {f"a-{n}": {"key_hashes": []} for n in range(600)}
     table = {"client_accounts": accounts}
-    fold = _fold()
+    fold = _make_fold()
     one = make_record(split_sections(table), 1, "")
     one = sign_record(one, _KEY.private_bytes_raw())
     fold.on_record(encode_record(one), 0)
--- a/caroblug/core/state/tests/test_snapshots.py
+++ b/caroblug/core/state/tests/test_snapshots.py
@@ -8,7 +8,7 @@
 _PERIOD_MS = _RETENTION_MS / 4
 
 
-def _schedule(seed=1):
+def _make_schedule(seed=1):
     return SnapshotSchedule(_RETENTION_MS, random.Random(seed), 0)
 
 
@@ -19,14 +19,14 @@
     outage delays it by up to the other half, the last one has not expired.
     """
     for seed in range(50):
-        schedule = _schedule(seed)
+        schedule = _make_schedule(seed)
         schedule.on_snapshot(0)
         assert not schedule.is_due(_PERIOD_MS - 1, 0)
         assert schedule.is_due(_RETENTION_MS / 2, 100)
 
 
 def test_few_readers_append_in_each_period():
-    schedules = [_schedule(seed) for seed in range(33)]
+    schedules = [_make_schedule(seed) for seed in range(33)]
     for schedule in schedules:
         schedule.on_snapshot(0)
     appends = 0
@@ -44,14 +44,14 @@
 
 
 def test_expired_snapshot_is_replaced_soon():
-    schedule = _schedule()
+    schedule = _make_schedule()
     schedule.on_snapshot(0)
     schedule.on_snapshot_expired(1000)
     assert schedule.is_due(1000 + _PERIOD_MS / 16, 0)
 
 
 def test_failed_append_is_retried_soon():
-    schedule = _schedule()
+    schedule = _make_schedule()
     schedule.on_snapshot(0)
     schedule.on_failure(_PERIOD_MS * 1.1)
     assert not schedule.is_due(_PERIOD_MS * 1.1, 0)
--- a/caroblug/entry/tests/test_quarantine.py
+++ b/caroblug/entry/tests/test_quarantine.py
@@ -8,7 +8,7 @@
 from caroblug.utils import ManualClock, make_metrics
 
 
-class _Network:
+class _FakeNetwork:
     def __init__(self):
         self.sent = []
 
@@ -22,7 +22,7 @@
     Another entry requests to run a request right after the restart. If the
     home did not reply, the caller would wait a whole minute for nothing.
     """
-    network, clock = _Network(), ManualClock()
+    network, clock = _FakeNetwork(), ManualClock()
     client = QuarantineClient(
         network,
         HomeEntries("entry-a", 60_000),
--- a/caroblug/entry/tests/test_slow_reader.py
+++ b/caroblug/entry/tests/test_slow_reader.py
@@ -13,7 +13,7 @@
 from caroblug.utils import ManualClock, Refused, make_metrics
 
 
-class _Network:
+class _FakeNetwork:
     def __init__(self):
         self.sent = []
 
@@ -27,7 +27,7 @@
         pass
 
 
-class _Picker:
+class _FakePicker:
     def pick(self, request, excluded):
         return Chain((Stage("side-a", "127.0.0.1", 1, 0, 8),))
 
@@ -46,7 +46,7 @@
         pass
 
 
-def _policy():
+def _make_policy():
     rule = RetryRule(3, 0.1, 1.0)
     budget = RetryBudget(rule, rule)
     return RecoveryPolicy(3, RecoveryStrategy.REPLACE_STAGE, budget)
@@ -59,15 +59,15 @@
     would hold its slot until the engine has generated the whole response.
     """
     clock = ManualClock(0)
-    network = _Network()
+    network = _FakeNetwork()
     streams = EntryStreams(
         wire.StageRef("entry-a", "127.0.0.1", 2, 0, 0),
         network,
         SideDirectory(clock, 1000),
-        _Picker(),
+        _FakePicker(),
         clock,
         make_metrics(),
-        _policy(),
+        _make_policy(),
         _EmptyQuarantine(),
     )
     request = StreamRequest(
--- a/caroblug/entry/tests/test_subset.py
+++ b/caroblug/entry/tests/test_subset.py
@@ -6,7 +6,7 @@
 _SIZE = 24
 
 
-def _report(number):
+def _make_report(number):
     first = number % 6 * 4
     return wire.LoadReport(
         instance=f"e{number}",
@@ -24,7 +24,7 @@
         selected = subset.select(listed)
         max_connected = max(max_connected, len(selected))
         for instance in selected - set(silent):
-            subset.on_report(_report(int(instance[1:])))
+            subset.on_report(_make_report(int(instance[1:])))
     return selected, max_connected
 
 
@@ -40,7 +40,7 @@
     selected, max_connected = _settle(subset, listed)
     assert len(selected) <= _SIZE
     assert max_connected <= _SIZE + 32
-    layers = {_report(int(i[1:])).first_layer for i in selected}
+    layers = {_make_report(int(i[1:])).first_layer for i in selected}
     assert layers == set(range(0, 24, 4))
     other, _ = _settle(SideSubset("entry-b", _SIZE), listed)
     assert other != selected
--- a/caroblug/side/tests/test_batch_scheduler.py
+++ b/caroblug/side/tests/test_batch_scheduler.py
@@ -35,7 +35,9 @@
         )
 
 
-class _Bench:
+class _Harness:
+    """A scheduler on a fake engine, with the results of finished calls."""
+
     def __init__(self):
         self.engine = _FakeEngine()
         self.results = []
@@ -78,27 +80,29 @@
     stream.
     """
     rng = random.Random(7)
-    bench = _Bench()
+    harness = _Harness()
     wanted = {}
     for number in range(40):
         session = f"s{number % 13}"
         start = wanted.get(session, 0)
         length = rng.choice([1, 1, 1, 3, 21])
-        bench.submit(session, start, length)
+        harness.submit(session, start, length)
         wanted[session] = start + length
-    bench.settle()
-    assert bench.scheduler.backlog == sum(wanted.values())
+    harness.settle()
+    assert harness.scheduler.backlog == sum(wanted.values())
     largest = 0
-    while bench.engine.calls:
-        assert bench.engine.positions <= 2 * _BATCH
-        sessions = [i.session for items, _ in bench.engine.calls for i in items]
+    while harness.engine.calls:
+        assert harness.engine.positions <= 2 * _BATCH
+        sessions = [
+            i.session for items, _ in harness.engine.calls for i in items
+        ]
         assert len(sessions) == len(set(sessions))
-        items = bench.end_call(rng)
+        items = harness.end_call(rng)
         largest = max(largest, sum(len(i.inputs) for i in items))
     assert largest == _BATCH
-    assert bench.scheduler.backlog == 0
+    assert harness.scheduler.backlog == 0
     done = {}
-    for result in bench.results:
+    for result in harness.results:
         assert result.position == done.get(result.session, 0)
         done[result.session] = result.position + result.length
     assert done == wanted
@@ -110,27 +114,27 @@
     The prompt of 400 positions is submitted first. Without chunks it would
     occupy the engine for fifty batches.
     """
-    bench = _Bench()
-    bench.submit("long", 0, 400)
-    bench.settle()
-    bench.submit("short", 0, 1)
-    bench.settle()
+    harness = _Harness()
+    harness.submit("long", 0, 400)
+    harness.settle()
+    harness.submit("short", 0, 1)
+    harness.settle()
     before = 0
-    while not any(r.session == "short" for r in bench.results):
-        before += sum(len(item.inputs) for item in bench.end_call())
+    while not any(r.session == "short" for r in harness.results):
+        before += sum(len(item.inputs) for item in harness.end_call())
     assert before <= 2 * _BATCH
 
 
 def test_ended_stream_frees_its_backlog():
-    bench = _Bench()
-    bench.submit("long", 0, 400)
-    bench.submit("other", 0, 2)
-    bench.settle()
-    bench.scheduler.end("long")
-    while bench.engine.calls:
-        bench.end_call()
-    assert bench.scheduler.backlog == 0
-    assert {r.session for r in bench.results} == {"other"}
+    harness = _Harness()
+    harness.submit("long", 0, 400)
+    harness.submit("other", 0, 2)
+    harness.settle()
+    harness.scheduler.end("long")
+    while harness.engine.calls:
+        harness.end_call()
+    assert harness.scheduler.backlog == 0
+    assert {r.session for r in harness.results} == {"other"}
 
 
 def test_call_that_only_ends_sessions_does_not_end_isolation():
@@ -140,19 +144,19 @@
     and was taken for the end of that run. Other items then joined the suspect
     in the engine and were suspected of its next crash.
     """
-    bench = _Bench()
-    bench.submit("suspect", 0, 1, isolated=True)
-    bench.settle()
-    bench.scheduler.end("forgotten")
-    bench.settle()
-    bench.submit("innocent", 0, 1)
-    bench.settle()
-    ((suspects, _), (ended, done)) = bench.engine.calls
+    harness = _Harness()
+    harness.submit("suspect", 0, 1, isolated=True)
+    harness.settle()
+    harness.scheduler.end("forgotten")
+    harness.settle()
+    harness.submit("innocent", 0, 1)
+    harness.settle()
+    ((suspects, _), (ended, done)) = harness.engine.calls
     assert [item.session for item in suspects] == ["suspect"]
     assert ended == []
     done.set()
-    bench.settle()
-    assert list(bench.scheduler.sessions_in_engine) == ["suspect"]
+    harness.settle()
+    assert list(harness.scheduler.sessions_in_engine) == ["suspect"]
 
 
 def test_step_and_chunk_are_sent_in_separate_calls():
@@ -161,14 +165,14 @@
     An engine may defer a chunk to its next batch, and a call returns when its
     last item has run. A step in the same call would wait for the chunk.
     """
-    bench = _Bench()
-    bench.submit("long", 0, 4)
-    bench.submit("short", 0, 1)
-    bench.settle()
+    harness = _Harness()
+    harness.submit("long", 0, 4)
+    harness.submit("short", 0, 1)
+    harness.settle()
     called = [
-        {item.session for item in items} for items, _ in bench.engine.calls
+        {item.session for item in items} for items, _ in harness.engine.calls
     ]
     assert sorted(called, key=sorted) == [{"long"}, {"short"}]
-    while bench.engine.calls:
-        bench.end_call()
-    assert bench.scheduler.backlog == 0
+    while harness.engine.calls:
+        harness.end_call()
+    assert harness.scheduler.backlog == 0
--- a/caroblug/side/tests/test_batch_scheduler_fairness.py
+++ b/caroblug/side/tests/test_batch_scheduler_fairness.py
@@ -10,7 +10,9 @@
 from caroblug.utils import ManualClock, make_metrics
 
 
-class _Bench:
+class _Harness:
+    """A scheduler on a fake engine, with the results of finished calls."""
+
     def __init__(self, queue="fair"):
         self.engine = _FakeEngine()
         self.clock = ManualClock(1000)
@@ -51,67 +53,69 @@
     the light account must be sent at once in a call of its own, with a
     priority that lets the engine run it next.
     """
-    bench = _Bench()
+    harness = _Harness()
     for number in range(10 * _BATCH):
-        bench.submit("heavy", number)
-    bench.settle()
-    assert bench.engine.positions == 2 * _BATCH
-    bench.submit("light", 0)
-    bench.settle()
-    (item,) = bench.engine.calls[-1][0]
+        harness.submit("heavy", number)
+    harness.settle()
+    assert harness.engine.positions == 2 * _BATCH
+    harness.submit("light", 0)
+    harness.settle()
+    (item,) = harness.engine.calls[-1][0]
     assert item.session == "light.0"
-    assert item.priority < bench.engine.calls[0][0][0].priority
+    assert item.priority < harness.engine.calls[0][0][0].priority
 
 
 def test_overtaking_is_bounded_over_many_accounts():
     """Guards against an engine's memory growing with the number of accounts."""
-    bench = _Bench()
+    harness = _Harness()
     for number in range(2 * _BATCH):
-        bench.submit("heavy", number)
-    bench.settle()
+        harness.submit("heavy", number)
+    harness.settle()
     for account in range(20 * _BATCH):
-        bench.submit(f"light-{account}", 0)
-        bench.settle()
-    assert bench.engine.positions <= 4 * _BATCH
+        harness.submit(f"light-{account}", 0)
+        harness.settle()
+    assert harness.engine.positions <= 4 * _BATCH
 
 
 def test_backlogged_accounts_get_equal_service():
-    bench = _Bench()
+    harness = _Harness()
     for number in range(400):
-        bench.submit("heavy", number)
+        harness.submit("heavy", number)
     for number in range(100):
-        bench.submit("light", number)
-    bench.settle()
+        harness.submit("light", number)
+    harness.settle()
     for _ in range(20):
-        bench.end_call()
-    served = collections.Counter(r.session.split(".")[0] for r in bench.results)
+        harness.end_call()
+    served = collections.Counter(
+        r.session.split(".")[0] for r in harness.results
+    )
     assert abs(served["heavy"] - served["light"]) <= 4 * _BATCH
 
 
 def test_item_past_its_deadline_is_not_run():
     """Guards against an engine that generates tokens for absent callers."""
-    bench = _Bench()
+    harness = _Harness()
     for number in range(2 * _BATCH):
-        bench.submit("school-1", number)
-    bench.submit("school-1", 100, expires_ms=2000)
-    bench.settle()
-    bench.clock.advance(1000)
-    while bench.engine.calls:
-        bench.end_call()
-    assert len(bench.results) == 2 * _BATCH
-    assert bench.metrics.value("items_expired") == 1
+        harness.submit("school-1", number)
+    harness.submit("school-1", 100, expires_ms=2000)
+    harness.settle()
+    harness.clock.advance(1000)
+    while harness.engine.calls:
+        harness.end_call()
+    assert len(harness.results) == 2 * _BATCH
+    assert harness.metrics.value("items_expired") == 1
 
 
 def test_suspect_is_alone_in_the_engine():
     """Guards against streams that fail with one that crashes the engine."""
-    bench = _Bench()
-    bench.submit("school-1", 0)
-    bench.settle()
-    bench.submit("poisoner", 1, isolated=True)
-    bench.submit("school-1", 2)
-    bench.settle()
-    assert [i.session for i in bench.running()] == ["school-1.0"]
-    bench.end_call()
-    assert [i.session for i in bench.running()] == ["poisoner.1"]
-    bench.end_call()
-    assert [i.session for i in bench.running()] == ["school-1.2"]
+    harness = _Harness()
+    harness.submit("school-1", 0)
+    harness.settle()
+    harness.submit("poisoner", 1, isolated=True)
+    harness.submit("school-1", 2)
+    harness.settle()
+    assert [i.session for i in harness.running()] == ["school-1.0"]
+    harness.end_call()
+    assert [i.session for i in harness.running()] == ["poisoner.1"]
+    harness.end_call()
+    assert [i.session for i in harness.running()] == ["school-1.2"]
--- a/caroblug/transport/tests/test_http.py
+++ b/caroblug/transport/tests/test_http.py
@@ -35,7 +35,7 @@
         sock.close()
 
 
-def _once(port, method, may_send=lambda: True):
+def _request_in_thread(port, method, may_send=lambda: True):
     arguments = ("127.0.0.1", port, 2000, method, "/seats", b"", {}, may_send)
     # The programs monkey-patch sockets. Here sockets are not patched, so the
     # request runs in a thread and does not block the server.
@@ -50,7 +50,7 @@
     that treats PUT as idempotent resends the request by itself.
     """
     with _Service() as service:
-        answer = _once(service.port, method)
+        answer = _request_in_thread(service.port, method)
         assert isinstance(answer, HttpFailure)
         assert answer.sent
         assert service.requests == 1
@@ -58,17 +58,17 @@
 
 def test_response_is_returned():
     with _Service(_ANSWER) as service:
-        answer = _once(service.port, "PUT")
+        answer = _request_in_thread(service.port, "PUT")
         assert isinstance(answer, HttpResponse)
         assert (answer.status, answer.body) == (201, b"ok")
 
 
 def test_failure_is_marked_not_sent_only_before_the_first_byte():
     with _Service(_ANSWER) as service:
-        late = _once(service.port, "PUT", lambda: False)
+        late = _request_in_thread(service.port, "PUT", lambda: False)
         assert not late.sent
         assert service.requests == 0
         port = service.port
-    refused = _once(port, "PUT")
+    refused = _request_in_thread(port, "PUT")
     assert isinstance(refused, HttpFailure)
     assert not refused.sent
