--- a/caroblug/node/_lifetime.py
+++ b/caroblug/node/_lifetime.py
@@ -82,7 +82,7 @@
         busy: Callable[[], bool],
         on_late_drain: Callable[[], None] | None = None,
     ) -> None:
-        """Blocks until the program has drained.
+        """Blocks until the program has drained or the drain time has passed.
 
         Args:
             on_drain_start: Called once when the drain begins.
--- a/caroblug/transport/_http.py
+++ b/caroblug/transport/_http.py
@@ -21,7 +21,7 @@
         message: Description of the failure.
         sent: Whether part of the request may have been sent.
         timed_out: Whether the request timed out, rather than failing with a
-            connection error.
+            connection error. Only `JsonHttpClient` sets it.
     """
 
     message: str
--- a/caroblug/transport/_sessions.py
+++ b/caroblug/transport/_sessions.py
@@ -1,8 +1,9 @@
 """State of one session with a peer, which outlives its connections.
 
-A session ends when a new connection to the peer fails, when the peer names
-another session on a new connection, or when the unacknowledged frames or the
-frames received out of order exceed their limit.
+A session ends when it is no longer needed, when a new connection to the peer
+fails, when the peer names another session on a new connection, or when the
+queued messages, the unacknowledged frames or the frames received out of order
+exceed their limit.
 """
 
 import secrets
@@ -202,7 +203,7 @@
     def tick(
         self, timing: SessionTiming, *, in_flight: bool, now_ms: int
     ) -> bool:
-        """Sends due messages and returns whether the peer is suspected.
+        """Sends due heartbeats and acknowledgements and checks the timeouts.
 
         The timeouts also detect a connection that a device between the two
         ends has dropped from its state: no reset arrives and sends seem to
@@ -212,6 +213,9 @@
             timing: Heartbeat intervals and timeouts.
             in_flight: Whether work in flight depends on the peer.
             now_ms: Current time.
+
+        Returns:
+            Whether the peer is suspected.
         """
         if self._ack_due_since_ms and (
             now_ms - self._ack_due_since_ms >= timing.max_ack_delay_ms
