--- a/benchmarks/once.py
+++ b/benchmarks/once.py
@@ -1,8 +1,9 @@
-"""What it costs to run a call at most once.
+"""Cost of at-most-once calls.
 
-Closed loops of bookings over two entries and two owners: with an
-`Idempotency-Key` (intent and outcome on the log), and without one (passed on
-once, nothing kept). The latency added is the difference of the two p95.
+Closed loops send bookings over two entries and two owners, with an
+`Idempotency-Key` (intent and outcome are logged) and without one (the call is
+forwarded once and nothing is logged). The added latencies are the differences
+of the p50 and of the p95.
 """
 
 import itertools
@@ -30,8 +31,8 @@
 from standins.site import HOST, EntrySpec, PlainSpec, Site, make_site
 
 _RUNS = 3
-_AT_ONCE = (1, 10, 100)
-_WARM_S = 0.7
+_CONCURRENCIES = (1, 10, 100)
+_WARM_UP_S = 0.7
 _SECONDS = 2.5
 _TIMEOUT_MS = 20_000
 _PLACES = ("a", "b")
@@ -44,7 +45,7 @@
 
 @attrs.define
 class _Tally:
-    """Latencies of answered calls, in ms, and calls that were refused."""
+    """Latencies of successful calls, in ms, and the number of other calls."""
 
     took_ms: list[float] = attrs.field(factory=list)
     refused: int = 0
@@ -55,7 +56,7 @@
         return ordered[min(len(ordered) - 1, int(len(ordered) * share))]
 
 
-class _Bookers:
+class _BookingLoops:
     """Closed loops of bookings.
 
     Args:
@@ -72,20 +73,20 @@
         self._numbers = itertools.count()
         self._stopped = False
 
-    def run(self, at_once: int) -> float:
-        """Runs the loops and returns the measured seconds."""
+    def run(self, concurrency: int) -> float:
+        """Runs a number of loops; returns the measured time in seconds."""
         loops = [
             gevent.spawn(self._loop, f"entry-{_PLACES[n % 2]}")
-            for n in range(at_once)
+            for n in range(concurrency)
         ]
-        gevent.sleep(_WARM_S)
+        gevent.sleep(_WARM_UP_S)
         self.tally = _Tally()
         start = time.monotonic()
         gevent.sleep(_SECONDS)
-        took = time.monotonic() - start
+        duration_s = time.monotonic() - start
         self._stopped = True
         gevent.joinall(loops)
-        return took
+        return duration_s
 
     def _loop(self, entry: str) -> None:
         port = self._site.processes[entry].http_port
@@ -97,11 +98,14 @@
                 key = f"{self._prefix}-{next(self._numbers)}"
                 headers["Idempotency-Key"] = key
             tally, start = self.tally, time.monotonic()
-            answer = client.request(
+            response = client.request(
                 "POST", "/services/booking/seats", _BODY, headers
             )
             took_ms = (time.monotonic() - start) * 1000
-            if isinstance(answer, HttpResponse) and answer.status == _CREATED:
+            if (
+                isinstance(response, HttpResponse)
+                and response.status == _CREATED
+            ):
                 tally.took_ms.append(took_ms)
             else:
                 tally.refused += 1
@@ -109,7 +113,7 @@
 
 
 def start(site: Site) -> None:
-    """Starts two entries and two owners."""
+    """Starts two entries and two plain services with their sides."""
     site.start_platform()
     site.add_account(_ACCOUNT)
     site.bundle["services"]["booking"] = {"timeout_ms": _TIMEOUT_MS}
@@ -123,60 +127,69 @@
     site.wait_ready()
 
 
-def entries_written(site: Site) -> float:
-    """Returns intents and outcomes that the owners have appended."""
+def count_entries(site: Site) -> float:
+    """Returns the number of intents and outcomes that owners have appended."""
     return sum(
         site.metric(f"side-{place}", "caroblug_call_entries_total")
         for place in _PLACES
     )
 
 
-def run(site: Site, at_once: int, seed: int) -> tuple[dict, dict]:
-    """Returns the figures with and without a key at a concurrency."""
-    plain = _Bookers(site, keyed=False, seed=seed)
-    plain_s = plain.run(at_once)
-    entries = entries_written(site)
-    appends = site.observe("log")["appends"]
-    begun = time.monotonic()
-    keyed = _Bookers(site, keyed=True, seed=seed)
-    keyed_s = keyed.run(at_once)
-    whole_s = time.monotonic() - begun
-    appends = site.observe("log")["appends"] - appends
-    entries = entries_written(site) - entries
+def run(site: Site, concurrency: int, seed: int) -> tuple[dict, dict]:
+    """Measures calls with and without a key.
+
+    Args:
+        site: The running site.
+        concurrency: Number of closed loops.
+        seed: Seed of the keys.
+
+    Returns:
+        The figures with a key and those without one.
+    """
+    plain = _BookingLoops(site, keyed=False, seed=seed)
+    plain_s = plain.run(concurrency)
+    entries = count_entries(site)
+    appends = site.read_counters("log")["appends"]
+    keyed_start_s = time.monotonic()
+    keyed = _BookingLoops(site, keyed=True, seed=seed)
+    keyed_s = keyed.run(concurrency)
+    keyed_total_s = time.monotonic() - keyed_start_s
+    appends = site.read_counters("log")["appends"] - appends
+    entries = count_entries(site) - entries
     calls = len(keyed.tally.took_ms)
     figures = {
-        f"added_p50_ms_{at_once}": keyed.tally.quantile(0.5)
+        f"added_p50_ms_{concurrency}": keyed.tally.quantile(0.5)
         - plain.tally.quantile(0.5),
-        f"added_p95_ms_{at_once}": keyed.tally.quantile(0.95)
+        f"added_p95_ms_{concurrency}": keyed.tally.quantile(0.95)
         - plain.tally.quantile(0.95),
-        f"p95_ms_{at_once}": keyed.tally.quantile(0.95),
-        f"calls_per_s_per_owner_{at_once}": calls / keyed_s / len(_PLACES),
-        f"appends_per_s_{at_once}": appends / whole_s,
-        f"entries_per_append_{at_once}": entries / max(1, appends),
-        f"refused_{at_once}": keyed.tally.refused,
+        f"p95_ms_{concurrency}": keyed.tally.quantile(0.95),
+        f"calls_per_s_per_owner_{concurrency}": calls / keyed_s / len(_PLACES),
+        f"appends_per_s_{concurrency}": appends / keyed_total_s,
+        f"entries_per_append_{concurrency}": entries / max(1, appends),
+        f"refused_{concurrency}": keyed.tally.refused,
     }
     baseline = {
-        f"p50_ms_{at_once}": plain.tally.quantile(0.5),
-        f"p95_ms_{at_once}": plain.tally.quantile(0.95),
-        f"calls_per_s_per_owner_{at_once}": len(plain.tally.took_ms)
+        f"p50_ms_{concurrency}": plain.tally.quantile(0.5),
+        f"p95_ms_{concurrency}": plain.tally.quantile(0.95),
+        f"calls_per_s_per_owner_{concurrency}": len(plain.tally.took_ms)
         / plain_s
         / len(_PLACES),
     }
     return figures, baseline
 
 
-def runs_per_key_max(site: Site) -> int:
-    """Returns how often the services ran the key they ran most often."""
+def compute_max_runs_per_key(site: Site) -> int:
+    """Returns the highest number of runs of any key."""
     runs: dict[str, int] = {}
     for place in _PLACES:
-        for key, count in site.observe(f"plain-{place}")["runs"].items():
+        for key, count in site.read_counters(f"plain-{place}")["runs"].items():
             if not key.startswith("{"):
                 runs[key] = runs.get(key, 0) + count
     return max(runs.values())
 
 
-def fold_figures() -> dict[str, float]:
-    """Returns memory and time of a fold of answered keys."""
+def measure_fold() -> dict[str, float]:
+    """Returns the memory and time that a fold of answered keys takes."""
     records = []
     for first in range(0, _KEYS, _KEYS_PER_BATCH):
         intents = [
@@ -195,17 +208,17 @@
         batch = CallBatch("side-a.0123456789ab", sequence, 0, ())
         batch = attrs.evolve(batch, entries=(*intents, *outcomes))
         records.append(encode_batch(batch))
-    took_s = _fold_all(records)
+    duration_s = _fold_all(records)
     tracemalloc.start()
     fold = IntentFold()
     for offset, data in enumerate(records):
         fold.on_record(offset, data)
-    held, _ = tracemalloc.get_traced_memory()
+    memory_bytes, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     return {
-        "memory_bytes_per_key": held / len(fold),
+        "memory_bytes_per_key": memory_bytes / len(fold),
         "log_bytes_per_key": sum(map(len, records)) / _KEYS,
-        "catch_up_us_per_key": took_s * 1e6 / _KEYS,
+        "catch_up_us_per_key": duration_s * 1e6 / _KEYS,
     }
 
 
@@ -224,20 +237,22 @@
     with make_site() as site:
         start(site)
         for seed in range(1, _RUNS + 1):
-            journalled: dict[str, float] = {}
-            direct: dict[str, float] = {}
-            for at_once in _AT_ONCE:
-                one, other = run(site, at_once, seed * 1000 + at_once)
-                journalled |= one
-                direct |= other
-            print(f"seed {seed}: {journalled} {direct}", flush=True)
-            figures.append(journalled)
-            baselines.append(direct)
-        most = runs_per_key_max(site)
+            with_journal: dict[str, float] = {}
+            without_journal: dict[str, float] = {}
+            for concurrency in _CONCURRENCIES:
+                keyed_figures, plain_figures = run(
+                    site, concurrency, seed * 1000 + concurrency
+                )
+                with_journal |= keyed_figures
+                without_journal |= plain_figures
+            print(f"seed {seed}: {with_journal} {without_journal}", flush=True)
+            figures.append(with_journal)
+            baselines.append(without_journal)
+        max_runs = compute_max_runs_per_key(site)
     result = median_of(figures)
-    result["appends_per_s"] = result[f"appends_per_s_{_AT_ONCE[-1]}"]
-    result["runs_per_key_max"] = most
-    result |= fold_figures()
+    result["appends_per_s"] = result[f"appends_per_s_{_CONCURRENCIES[-1]}"]
+    result["runs_per_key_max"] = max_runs
+    result |= measure_fold()
     print_result(
         Result("once", _RUNS, result, {"without_journal": median_of(baselines)})
     )
--- a/caroblug/explain/_stories.py
+++ b/caroblug/explain/_timelines.py
@@ -1,4 +1,4 @@
-"""Stories made of log lines."""
+"""Reconstructs the timeline of a request and the states of instances."""
 
 from collections.abc import Iterable
 from typing import Any
@@ -7,26 +7,26 @@
 
 from caroblug.explain._lines import LogLine
 
-_BELIEFS = {
+_STATE_KINDS = {
     "configuration.taken": ("configuration", "version"),
     "placement.acting": ("places layers", "acting"),
     "placement.lease": ("holds the lease", "held"),
 }
-_LOST = "store.lost"
-_REGAINED = "store.regained"
-_AVOIDED = "backend_server.avoided"
-_BACK = "backend_server.back"
+_DEPENDENCY_LOST = "store.lost"
+_DEPENDENCY_REGAINED = "store.regained"
+_EJECTED = "backend_server.avoided"
+_READMITTED = "backend_server.back"
 
 
 @attrs.define
 class Belief:
-    """What one instance believed at a moment.
+    """State of one instance at a point in time, as its log lines describe it.
 
     Attributes:
-        instance: The instance.
-        values: What it last said of itself, by name.
-        lost: Dependencies that it had lost.
-        avoided: Backend servers that it took to be gone, and why.
+        instance: Name of the instance.
+        values: Last logged value of each state, by name.
+        lost: Reason for each dependency that was lost, by dependency.
+        avoided: Reason for each ejected backend server, by server.
     """
 
     instance: str
@@ -35,37 +35,40 @@
     avoided: dict[str, str] = attrs.field(factory=dict)
 
 
-def tell_request(lines: Iterable[LogLine], request: str) -> list[LogLine]:
-    """Returns what concerns a request, in order of time.
+def trace_request(lines: Iterable[LogLine], request: str) -> list[LogLine]:
+    """Returns the log lines that concern a request, in order of time.
 
-    Besides its own lines these are the ones by which an instance that had it
-    gave up a backend server that the request was on.
+    Besides the request's own lines, these are the ejections and readmissions
+    of its backend servers that its instances logged while it ran.
 
     Args:
-        lines: Lines of any number of instances.
-        request: The request's id.
+        lines: Log lines of any number of instances.
+        request: Id of the request.
+
+    Returns:
+        The lines; none if no line has the request's id.
     """
     known = list(lines)
     own = [line for line in known if line.fields.get("request") == request]
     if not own:
         return []
-    servers = {name for line in own for name in _servers_of(line)}
+    servers = {name for line in own for name in _names_of_servers(line)}
     first = min(line.at_s for line in own)
     last = max(line.at_s for line in own)
     took_s = max(line.fields.get("took_ms", 0) for line in own) / 1000
     instances = {line.instance for line in own}
-    around = [
+    related = [
         line
         for line in known
-        if line.kind in (_AVOIDED, _BACK)
+        if line.kind in (_EJECTED, _READMITTED)
         and line.instance in instances
         and line.fields.get("backend_server") in servers
         and first - took_s <= line.at_s <= last
     ]
-    return sorted(own + around, key=lambda line: line.at_s)
+    return sorted(own + related, key=lambda line: line.at_s)
 
 
-def _servers_of(line: LogLine) -> list[str]:
+def _names_of_servers(line: LogLine) -> list[str]:
     names = list(line.fields.get("path") or ())
     names += line.fields.get("tried") or ()
     for key in ("backend_server", "lost"):
@@ -74,36 +77,39 @@
     return names
 
 
-def believe(lines: Iterable[LogLine], at_s: float) -> dict[str, Belief]:
-    """Returns what each instance believed at a moment.
+def states_at(lines: Iterable[LogLine], at_s: float) -> dict[str, Belief]:
+    """Returns the state of each instance at a point in time.
 
     Args:
-        lines: Lines of any number of instances.
-        at_s: The moment, in seconds since 1970.
+        lines: Log lines of any number of instances.
+        at_s: Point in time, in seconds since 1970.
+
+    Returns:
+        States by instance, without instances that have no earlier line.
     """
     beliefs: dict[str, Belief] = {}
     for line in sorted(lines, key=lambda line: line.at_s):
         if line.at_s > at_s:
             break
         belief = beliefs.setdefault(line.instance, Belief(line.instance))
-        _update(belief, line)
+        _apply_line(belief, line)
     return beliefs
 
 
-def _update(belief: Belief, line: LogLine) -> None:
+def _apply_line(belief: Belief, line: LogLine) -> None:
     fields = line.fields
-    if line.kind in _BELIEFS:
-        name, key = _BELIEFS[line.kind]
+    if line.kind in _STATE_KINDS:
+        name, key = _STATE_KINDS[line.kind]
         belief.values[name] = fields.get(key)
     elif line.kind == "program.started":
         belief.values.clear()
         belief.lost.clear()
         belief.avoided.clear()
-    elif line.kind == _LOST:
+    elif line.kind == _DEPENDENCY_LOST:
         belief.lost[fields["what"]] = fields.get("reason", "")
-    elif line.kind == _REGAINED:
+    elif line.kind == _DEPENDENCY_REGAINED:
         belief.lost.pop(fields["what"], None)
-    elif line.kind == _AVOIDED:
+    elif line.kind == _EJECTED:
         belief.avoided[fields["backend_server"]] = fields.get("reason", "")
-    elif line.kind == _BACK:
+    elif line.kind == _READMITTED:
         belief.avoided.pop(fields["backend_server"], None)
--- a/caroblug/explain/tests/test_losses.py
+++ b/caroblug/explain/tests/test_losses.py
@@ -1,8 +1,8 @@
-"""Sums of late, refused and failed requests."""
+"""Tests for grouping late, refused and failed requests."""
 
 import json
 
-from caroblug.explain import LogLine, main, sum_losses
+from caroblug.explain import LogLine, group_losses, main
 
 
 def answered(at_s, instance="g1", kind="request", **fields):
@@ -28,8 +28,8 @@
 ]
 
 
-def test_losses_are_summed_by_outcome_and_cause():
-    losses = {(x.outcome, x.cause): x for x in sum_losses(LINES)}
+def test_losses_are_grouped_by_outcome_and_cause():
+    losses = {(x.outcome, x.cause): x for x in group_losses(LINES)}
 
     paused = losses["late", "pause: path changed"]
     assert paused.requests == 2
--- a/caroblug/side/_plain.py
+++ b/caroblug/side/_plain.py
@@ -195,7 +195,7 @@
             reply = refuse_call(
                 call,
                 RefusalType.LEAVING,
-                "instance is draining",
+                "instance is leaving",
                 ExecutionStatus.NO,
             )
             self._network.send(peer, reply)
--- a/caroblug/transport/_http.py
+++ b/caroblug/transport/_http.py
@@ -21,7 +21,7 @@
         message: Description of the failure.
         sent: Whether part of the request may have been sent.
         timed_out: Whether the request timed out, rather than failing with a
-            connection error.
+            connection error. Only `JsonHttpClient` sets it.
     """
 
     message: str
@@ -150,9 +150,7 @@
         return HttpFailure(_format_error(error), sent=False)
     try:
         if not may_send():
-            return HttpFailure(
-                "deadline passed before the request was sent", sent=False
-            )
+            return HttpFailure("the time to call has passed", sent=False)
         connection.request(method, path, body, headers)
         response = connection.getresponse()
         content = response.read()
--- a/standins/callers.py
+++ b/standins/callers.py
@@ -1,4 +1,4 @@
-"""Callers that stream answers and note when each part came."""
+"""Clients that stream completions and record when each chunk arrived."""
 
 import random
 import time
@@ -11,32 +11,33 @@
 from standins import reference
 from standins.site import MODEL, Site
 
-_BALANCER_S = 0.05
+_READY_POLL_S = 0.05
 _WORDS = ("autumn", "comet", "dome", "eclipse", "galaxy", "meteor", "nebula")
 
 
 def make_prompt(generator: random.Random, words: int) -> str:
-    """Returns a prompt of `words` words."""
+    """Returns a random prompt of `words` words."""
     return " ".join(generator.choice(_WORDS) for _ in range(words))
 
 
 class Caller:
-    """One streamed completion.
+    """Client that requests one streamed completion in the background.
 
     Args:
-        site: Where it is asked.
-        entry: The entry that is asked.
+        site: The running site.
+        entry: Name of the entry that receives the request.
         account: The client account.
         prompt: The prompt.
-        tokens: Tokens to generate.
+        tokens: Number of tokens to generate.
         seed: Seed of the sampling.
 
     Attributes:
-        entry: The entry that is asked.
-        arrivals: Monotonic time in seconds of each part with text.
-        stream: The stream's name, once known.
-        refusal: The refusal, if one came.
-        broken: What ended the connection, if something did.
+        entry: Name of the entry that receives the request.
+        arrivals: Monotonic time in seconds of each chunk with text.
+        stream: Identifier of the stream; empty until the first chunk.
+        refusal: The refusal, if the entry sent one.
+        connection_error: The error that ended the connection; empty if
+            there was none.
     """
 
     def __init__(
@@ -54,29 +55,29 @@
         self.arrivals: list[float] = []
         self.stream = ""
         self.refusal: dict[str, Any] | None = None
-        self.broken = ""
+        self.connection_error = ""
         self._site = site
         self.entry = entry
         self._account = account
-        self._parts: list[str] = []
+        self._texts: list[str] = []
         self._greenlet = gevent.spawn(self._run)
 
     @property
     def text(self) -> str:
-        """The text so far."""
-        return "".join(self._parts)
+        """The text received so far."""
+        return "".join(self._texts)
 
     @property
-    def right(self) -> bool:
-        """Whether the text is the whole right answer."""
+    def is_correct(self) -> bool:
+        """Whether the text is the whole expected text."""
         return self.text == self.expected()
 
     @property
     def failure(self) -> str:
-        """What was wrong with the answer; empty if nothing was."""
-        if self.right:
+        """The reason why the completion failed; empty if it is correct."""
+        if self.is_correct:
             return ""
-        return self.broken or str(self.refusal) or "wrong text"
+        return self.connection_error or str(self.refusal) or "wrong text"
 
     def prompt_tokens(self) -> list[int]:
         """Returns the prompt as the entry encodes it."""
@@ -85,7 +86,7 @@
         return tokenizer.encode(f"user: {self.prompt}")
 
     def expected(self) -> str:
-        """Returns the right answer."""
+        """Returns the text of a correct completion."""
         model = self._site.bundle["models"][MODEL]
         tokenizer = make_tokenizer(model["vocabulary"])
         tokens = reference.expected_tokens(
@@ -97,15 +98,15 @@
         )
         return tokenizer.decode(tokens)
 
-    def wait_parts(self, count: int) -> None:
-        """Waits until `count` parts have come."""
+    def wait_for_chunks(self, count: int) -> None:
+        """Waits until `count` chunks with text have arrived."""
         self._site.wait_for(
             lambda: len(self.arrivals) >= count or self._greenlet.ready(),
-            f"{count} parts of an answer",
+            f"{count} chunks of a completion",
         )
 
     def join(self) -> "Caller":
-        """Waits for the end of the answer."""
+        """Waits for the end of the completion."""
         self._greenlet.join()
         return self
 
@@ -118,11 +119,11 @@
         }
         try:
             for chunk in self._site.stream(self.entry, self._account, body):
-                self._take(chunk)
+                self._on_chunk(chunk)
         except Exception as error:
-            self.broken = repr(error)
+            self.connection_error = repr(error)
 
-    def _take(self, chunk: dict[str, Any]) -> None:
+    def _on_chunk(self, chunk: dict[str, Any]) -> None:
         if "error" in chunk:
             self.refusal = chunk["error"]
             return
@@ -130,19 +131,19 @@
         content = chunk["choices"][0]["delta"].get("content", "")
         if content:
             self.arrivals.append(time.monotonic())
-            self._parts.append(content)
+            self._texts.append(content)
 
 
-class Load:
-    """Callers who come one after the other until they are stopped.
+class ClosedLoopLoad:
+    """Closed loops of completions that run until they are stopped.
 
     Args:
-        site: Where they ask.
-        account: Their client account.
-        entries: Entries behind the balancer; one that is not ready is left
-            out.
-        tokens: Tokens of each answer.
-        at_once: Answers at any time.
+        site: The running site.
+        account: The client account.
+        entries: Entries behind an emulated load balancer, which skips those
+            that are not ready.
+        tokens: Number of tokens of each completion.
+        concurrency: Number of concurrent completions.
     """
 
     def __init__(
@@ -151,7 +152,7 @@
         account: str,
         entries: Sequence[str],
         tokens: int,
-        at_once: int = 4,
+        concurrency: int = 4,
     ) -> None:
         self._site = site
         self._account = account
@@ -160,19 +161,20 @@
         self._callers: list[Caller] = []
         self._stopped = False
         self._greenlets = [
-            gevent.spawn(self._ask, number) for number in range(at_once)
+            gevent.spawn(self._run_loop, number)
+            for number in range(concurrency)
         ]
 
     def stop(self) -> list[Caller]:
-        """Waits for the last answers and returns every caller."""
+        """Waits for the running completions and returns every caller."""
         self._stopped = True
         gevent.joinall(self._greenlets)
         return self._callers
 
-    def _ask(self, number: int) -> None:
+    def _run_loop(self, number: int) -> None:
         generator = random.Random(number)
         while not self._stopped:
-            entry = self._ready_entry(generator)
+            entry = self._choose_ready_entry(generator)
             caller = Caller(
                 self._site,
                 entry,
@@ -184,9 +186,9 @@
             self._callers.append(caller)
             caller.join()
 
-    def _ready_entry(self, generator: random.Random) -> str:
+    def _choose_ready_entry(self, generator: random.Random) -> str:
         while True:
             for entry in generator.sample(self._entries, len(self._entries)):
                 if self._site.is_ready(entry):
                     return entry
-            gevent.sleep(_BALANCER_S)
+            gevent.sleep(_READY_POLL_S)
--- a/standins/followers.py
+++ b/standins/followers.py
@@ -1,8 +1,10 @@
-"""Many followers of bundles in one process, over real sockets.
+"""Runs many followers of the bundle log in one process, over real sockets.
 
-Reads the nodes' settings as one JSON line. Then prints one line for each new
-head at a node: version, node, time in ms of the machine's monotonic clock.
-The order `bytes` is answered by the bytes and messages sent by all nodes.
+The first line of standard input is a JSON list of the followers' settings.
+The process prints one line for each new head: its version, the instance and
+the time in ms of the machine's monotonic clock. For each further line of
+input it prints the totals over all followers: bytes sent, frames sent, log
+reads, followers that are ready, connections and processor time in ms.
 """
 
 from gevent import monkey
@@ -26,8 +28,8 @@
 _CLOCK = MonotonicClock()
 
 
-class _Node(PeerHandler):
-    """One follower."""
+class _Follower(PeerHandler):
+    """Follows the bundles like a side process, without an engine."""
 
     def __init__(self, settings: NodeSettings) -> None:
         self.settings = settings
@@ -40,7 +42,12 @@
             self.metrics,
         )
         self.fleet = make_fleet(
-            settings, "side", self.network, _CLOCK, self.metrics, self._on_head
+            settings,
+            "side",
+            self.network,
+            _CLOCK,
+            self.metrics,
+            self._print_head,
         )
 
     def start(self) -> None:
@@ -56,29 +63,29 @@
     def on_peer_lost(self, peer: PeerAddress, reason: str) -> None:
         self.fleet.on_peer_lost(peer)
 
-    def _on_head(self, head: Head) -> None:
+    def _print_head(self, head: Head) -> None:
         now_ms = time.monotonic_ns() / _NS_PER_MS
         print(f"{head.version} {self.settings.instance} {now_ms}", flush=True)
 
 
 def main() -> None:
-    """Runs until standard input ends."""
-    orders = FileObject(sys.stdin.buffer, "rb")
-    nodes = []
-    for table in orjson.loads(orders.readline()):
+    """Runs the followers until standard input ends."""
+    commands = FileObject(sys.stdin.buffer, "rb")
+    followers = []
+    for table in orjson.loads(commands.readline()):
         addresses = {
             key: Address(**table.pop(key)) for key in ("log", "instance_list")
         }
-        nodes.append(_Node(NodeSettings(**addresses, **table)))
-    for node in nodes:
-        node.start()
+        followers.append(_Follower(NodeSettings(**addresses, **table)))
+    for follower in followers:
+        follower.start()
         gevent.sleep(0.01)
-    for _ in orders:
-        sent = sum(n.metrics.value("frame_bytes_sent") for n in nodes)
-        frames = sum(n.metrics.value("frames_sent") for n in nodes)
-        reads = sum(n.metrics.value("bundle_log_reads") for n in nodes)
-        ready = sum(n.fleet.bundles.ready for n in nodes)
-        links = sum(len(n.network.peers) for n in nodes)
+    for _ in commands:
+        sent = sum(f.metrics.value("frame_bytes_sent") for f in followers)
+        frames = sum(f.metrics.value("frames_sent") for f in followers)
+        reads = sum(f.metrics.value("bundle_log_reads") for f in followers)
+        ready = sum(f.fleet.bundles.ready for f in followers)
+        links = sum(len(f.network.peers) for f in followers)
         cpu_ms = time.process_time() * 1000
         print(
             f"sent {sent} {frames} {reads} {ready} {links} {cpu_ms}",
--- a/standins/links.py
+++ b/standins/links.py
@@ -1,8 +1,8 @@
-"""Starts a program of caroblug over emulated links between data centres.
+"""Runs a caroblug program over emulated links between data centres.
 
-What a process sends to a peer in another data centre is held back by a
-latency and paced to a number of bytes a second; inside a data centre nothing
-changes. Each end holds back its own direction.
+Data that a process sends to a peer in another data centre is delayed by a
+latency and limited to a rate in bytes per second. Links inside a data centre
+are unchanged. Each process delays only the direction in which it sends.
 """
 
 from gevent import monkey
@@ -25,12 +25,12 @@
 
 
 class DelayedSocket:
-    """A socket whose sends arrive later; everything else is the socket's.
+    """Wraps a socket and delays the data that it sends.
 
     Args:
-        sock: The socket.
-        latency_ms: How much later.
-        bytes_per_s: How fast at most; 0 for no bound.
+        sock: The wrapped socket.
+        latency_ms: Delay of each send.
+        bytes_per_s: Maximum rate; 0 for no limit.
     """
 
     def __init__(
@@ -39,24 +39,24 @@
         self._sock = sock
         self._latency_s = latency_ms / 1000
         self._bytes_per_s = bytes_per_s
-        self._free_at = 0.0
-        self._sent: queue.Queue = queue.Queue()
+        self._link_free_at_s = 0.0
+        self._in_flight: queue.Queue = queue.Queue()
         gevent.spawn(self._deliver)
 
     def __getattr__(self, name: str) -> Any:
         return getattr(self._sock, name)
 
     def sendall(self, data: bytes) -> None:
-        """Takes bytes on their way."""
+        """Queues bytes for a delayed send."""
         now = time.monotonic()
-        self._free_at = max(now, self._free_at)
+        self._link_free_at_s = max(now, self._link_free_at_s)
         if self._bytes_per_s:
-            self._free_at += len(data) / self._bytes_per_s
-        self._sent.put((self._free_at + self._latency_s, data))
+            self._link_free_at_s += len(data) / self._bytes_per_s
+        self._in_flight.put((self._link_free_at_s + self._latency_s, data))
 
     def _deliver(self) -> None:
         while True:
-            due, data = self._sent.get()
+            due, data = self._in_flight.get()
             gevent.sleep(max(0.0, due - time.monotonic()))
             try:
                 self._sock.sendall(data)
@@ -65,24 +65,24 @@
 
 
 class DelayedNetwork(PeerNetwork):
-    """A network whose links to other data centres are slow.
+    """Peer network with delayed links to other data centres.
 
     Attributes:
-        table: (latency in ms, bytes a second) by data centre; a link has the
-            slower values of its two ends.
+        table: (latency in ms, bytes per second) by data centre; a link has
+            the slower values of its two ends.
     """
 
     table: dict[str, tuple[float, float]] = {}
 
     def _add(self, session: Any, link: Any) -> None:
-        own, other = self._hello.data_centre, link.peer.data_centre
-        if own != other:
-            ends = [self.table[own], self.table[other]]
-            bounds = [bound for _, bound in ends if bound]
+        local, remote = self._hello.data_centre, link.peer.data_centre
+        if local != remote:
+            link_ends = [self.table[local], self.table[remote]]
+            rate_bounds = [rate for _, rate in link_ends if rate]
             link.sock = DelayedSocket(
                 link.sock,
-                max(latency_ms for latency_ms, _ in ends),
-                min(bounds, default=0.0),
+                max(latency_ms for latency_ms, _ in link_ends),
+                min(rate_bounds, default=0.0),
             )
         super()._add(session, link)
 
--- a/standins/log.py
+++ b/standins/log.py
@@ -1,4 +1,4 @@
-"""A stand-in log service: append, read from an offset, fail on order."""
+"""Stand-in for the log service, with faults that tests switch on."""
 
 from gevent import monkey
 
@@ -16,12 +16,18 @@
 
 from standins._serve import make_app, serve
 
-_HANG_S = 5.0
+_SILENCE_S = 5.0
 
 
 @attrs.define
 class _Stream:
-    """One stream; `start` is the offset of the oldest record kept."""
+    """Records of one stream.
+
+    Attributes:
+        start: Offset of the oldest retained record.
+        records: Retained records with the time of their append.
+        changed: Set when a record is appended.
+    """
 
     start: int = 0
     records: collections.deque = attrs.field(factory=collections.deque)
@@ -33,11 +39,13 @@
 
 
 class Log:
-    """The service's state.
+    """State of the log service.
+
+    Tests set its public attributes through the control resource.
 
     Args:
-        retention_s: How long records are kept.
-        appends_per_s: Appends taken in a second.
+        retention_s: How long records are retained.
+        appends_per_s: Maximum number of appends per second.
     """
 
     def __init__(self, retention_s: float, appends_per_s: int) -> None:
@@ -52,10 +60,10 @@
         self.reads = 0
         self._streams: dict[str, _Stream] = {}
         self._second = 0
-        self._in_second = 0
+        self._appends_in_second = 0
 
     def stream(self, name: str) -> _Stream:
-        """Returns a stream without its expired records."""
+        """Removes a stream's expired records and returns the stream."""
         stream = self._streams.setdefault(name, _Stream())
         oldest = time.monotonic() - self.retention_s
         while stream.records and stream.records[0][0] < oldest:
@@ -64,13 +72,21 @@
         return stream
 
     def append(self, name: str, data: str) -> int | None:
-        """Appends a record; None if the rate limit is reached."""
+        """Appends a record to a stream.
+
+        Args:
+            name: Name of the stream.
+            data: The record.
+
+        Returns:
+            The offset of the record; None if the rate limit is reached.
+        """
         second = int(time.monotonic())
         if second != self._second:
-            self._second, self._in_second = second, 0
-        if self._in_second >= self.appends_per_s:
+            self._second, self._appends_in_second = second, 0
+        if self._appends_in_second >= self.appends_per_s:
             return None
-        self._in_second += 1
+        self._appends_in_second += 1
         self.appends += 1
         stream = self.stream(name)
         stream.records.append((time.monotonic(), data))
@@ -81,7 +97,17 @@
     def read(
         self, name: str, offset: int, limit: int, wait_ms: int
     ) -> dict[str, Any]:
-        """Reads records, waiting for a first one."""
+        """Reads records and waits for the first one if there is none yet.
+
+        Args:
+            name: Name of the stream.
+            offset: Offset of the first record to read.
+            limit: Maximum number of records.
+            wait_ms: How long to wait for a record.
+
+        Returns:
+            The body of the response.
+        """
         self.reads += 1
         stream = self.stream(name)
         if offset >= stream.end and wait_ms:
@@ -100,7 +126,9 @@
         }
 
 
-class _Records:
+class _RecordsResource:
+    """Appends and reads the records of a stream, subject to the faults."""
+
     def __init__(self, log: Log) -> None:
         self._log = log
 
@@ -108,14 +136,14 @@
         self, request: falcon.Request, response: falcon.Response, name: str
     ) -> None:
         data = request.get_media()["data"]
-        self._check()
+        self._apply_faults()
         offset = self._log.append(name, data)
         if offset is None:
             response.status = falcon.HTTP_429
             return
         if self._log.lose_answers > 0:
             self._log.lose_answers -= 1
-            gevent.sleep(_HANG_S)
+            gevent.sleep(_SILENCE_S)
             raise falcon.HTTPServiceUnavailable
         gevent.sleep(self._log.answer_delay_ms / 1000)
         response.status = falcon.HTTP_201
@@ -124,7 +152,7 @@
     def on_get(
         self, request: falcon.Request, response: falcon.Response, name: str
     ) -> None:
-        self._check()
+        self._apply_faults()
         response.media = self._log.read(
             name,
             request.get_param_as_int("offset", default=0),
@@ -132,22 +160,23 @@
             request.get_param_as_int("wait_ms", default=0),
         )
         gevent.sleep(self._log.answer_delay_ms / 1000)
-        self._check()
+        self._apply_faults()
 
-    def _check(self) -> None:
+    def _apply_faults(self) -> None:
         if self._log.delay_ms:
             gevent.sleep(self._log.delay_ms / 1000)
         if self._log.silent:
-            gevent.sleep(_HANG_S)
+            gevent.sleep(_SILENCE_S)
         if self._log.down or self._log.silent:
             raise falcon.HTTPServiceUnavailable
 
 
-class _Control:
-    """Orders from tests.
+class _ControlResource:
+    """Sets attributes of the log for tests and returns its counters.
 
-    Keys: `down`, `silent`, `lose_answers`, `delay_ms` (before an append takes
-    effect), `answer_delay_ms` (after it), `retention_s`, `appends_per_s`.
+    Keys: `down`, `silent`, `lose_answers`, `delay_ms` (delay before an append
+    takes effect), `answer_delay_ms` (delay of the response after it),
+    `retention_s`, `appends_per_s`.
     """
 
     def __init__(self, log: Log) -> None:
@@ -177,8 +206,8 @@
     options = parser.parse_args()
     log = Log(options.retention_s, options.appends_per_s)
     app = make_app()
-    app.add_route("/streams/{name}", _Records(log))
-    app.add_route("/control", _Control(log))
+    app.add_route("/streams/{name}", _RecordsResource(log))
+    app.add_route("/control", _ControlResource(log))
     serve(app, options.port)
 
 
--- a/standins/relay.py
+++ b/standins/relay.py
@@ -1,7 +1,8 @@
-"""A stand-in for what lies between two processes: a TCP relay.
+"""TCP relay that emulates network faults between two processes.
 
-It reads the name of the process that dials from its hello, and can then cut,
-reset or silence what that process has open, or delay everything.
+The relay reads the name of the connecting process from its hello message. It
+can refuse, reset or silence the connections of that process, and delay all
+traffic.
 """
 
 from gevent import monkey
@@ -22,27 +23,35 @@
 from caroblug.transport import _framing as framing
 from standins._serve import HOST, make_app, serve
 
-_RESET = struct.pack("ii", 1, 0)
-_ANYBODY = "*"
+_LINGER_0 = struct.pack("ii", 1, 0)
+_ALL = "*"
 
 
 @attrs.define(eq=False)
-class _Pair:
-    """A connection on both sides of the relay."""
+class _RelayedConnection:
+    """A client's connection and the matching connection to the target.
+
+    Attributes:
+        name: Instance name of the client.
+        client_sock: Socket to the client.
+        target_sock: Socket to the target.
+        silent: Whether the relay forwards no more data on this connection,
+            which stays open.
+    """
 
     name: str
-    near: socket.socket
-    far: socket.socket
+    client_sock: socket.socket
+    target_sock: socket.socket
     silent: bool = False
 
     def reset(self) -> None:
-        """Resets both ends."""
-        for sock in (self.near, self.far):
+        """Resets both sockets."""
+        for sock in (self.client_sock, self.target_sock):
             _reset(sock)
 
 
 class Relay:
-    """Passes bytes between those who dial and one target.
+    """Forwards bytes between clients and one target.
 
     Args:
         target: Port of the target on loopback.
@@ -52,47 +61,57 @@
         self.target = target
         self.delay_ms = 0.0
         self.cut: set[str] = set()
-        self._pairs: list[_Pair] = []
+        self._connections: list[_RelayedConnection] = []
+
+    def client_names(self) -> list[str]:
+        """Returns the names of the clients with an open connection."""
+        return sorted({connection.name for connection in self._connections})
 
-    def names(self) -> list[str]:
-        """Returns who has a connection open."""
-        return sorted({pair.name for pair in self._pairs})
+    def matching_connections(self, name: str) -> list[_RelayedConnection]:
+        """Returns the connections of one client, or all for `*`."""
+        return [p for p in self._connections if name in (_ALL, p.name)]
 
-    def chosen(self, name: str) -> list[_Pair]:
-        """Returns the connections of one process or of all."""
-        return [p for p in self._pairs if name in (_ANYBODY, p.name)]
+    def accept(self, client_sock: socket.socket, address: Any) -> None:
+        """Serves one connection until both directions have ended.
 
-    def accept(self, near: socket.socket, address: Any) -> None:
-        """Serves one connection."""
+        Args:
+            client_sock: Socket to the client.
+            address: Address of the client; ignored.
+        """
         del address
-        received = framing.read_payload(near)
+        received = framing.read_payload(client_sock)
         if received is None:
-            near.close()
+            client_sock.close()
             return
         name = framing.decode(wire.Hello, received[0]).instance
-        if name in self.cut or _ANYBODY in self.cut:
-            _reset(near)
+        if name in self.cut or _ALL in self.cut:
+            _reset(client_sock)
             return
-        far = socket.create_connection((HOST, self.target))
-        for sock in (near, far):
+        target_sock = socket.create_connection((HOST, self.target))
+        for sock in (client_sock, target_sock):
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        pair = _Pair(name, near, far)
-        self._pairs.append(pair)
-        far.sendall(framing.pack_payload(*received))
-        back = gevent.spawn(self._pass, pair, far, near)
-        self._pass(pair, near, far)
-        back.join()
-        self._pairs.remove(pair)
-        near.close()
-        far.close()
-
-    def _pass(
-        self, pair: _Pair, source: socket.socket, sink: socket.socket
+        connection = _RelayedConnection(name, client_sock, target_sock)
+        self._connections.append(connection)
+        target_sock.sendall(framing.pack_payload(*received))
+        backward = gevent.spawn(
+            self._forward, connection, target_sock, client_sock
+        )
+        self._forward(connection, client_sock, target_sock)
+        backward.join()
+        self._connections.remove(connection)
+        client_sock.close()
+        target_sock.close()
+
+    def _forward(
+        self,
+        connection: _RelayedConnection,
+        source: socket.socket,
+        sink: socket.socket,
     ) -> None:
         try:
             while True:
                 data = source.recv(1 << 16)
-                if pair.silent:
+                if connection.silent:
                     gevent.sleep(3600)
                 if not data:
                     break
@@ -101,21 +120,22 @@
                 sink.sendall(data)
             sink.shutdown(socket.SHUT_WR)
         except OSError:
-            pair.reset()
+            connection.reset()
 
 
 def _reset(sock: socket.socket) -> None:
     try:
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET)
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_0)
     except OSError:
         return
     sock.close()
 
 
-class _Control:
-    """Orders from tests: `cut`, `heal`, `reset`, `silence`, `delay_ms`.
+class _ControlResource:
+    """Sets faults for tests: `cut`, `heal`, `reset`, `silence`, `delay_ms`.
 
-    All but the last take the name of a process that dials, or `*`.
+    `cut` resets the connections of a client and refuses new ones until
+    `heal`. All keys but `delay_ms` take the name of a client, or `*`.
     """
 
     def __init__(self, relay: Relay) -> None:
@@ -128,18 +148,18 @@
             relay.cut.add(body["cut"])
         if "heal" in body:
             relay.cut.discard(body["heal"])
-        for pair in relay.chosen(body.get("silence", "")):
-            pair.silent = True
+        for connection in relay.matching_connections(body.get("silence", "")):
+            connection.silent = True
         for order in ("cut", "reset"):
-            for pair in relay.chosen(body.get(order, "")):
-                pair.reset()
+            for connection in relay.matching_connections(body.get(order, "")):
+                connection.reset()
         if "delay_ms" in body:
             relay.delay_ms = float(body["delay_ms"])
         response.media = {}
 
     def on_get(self, request: falcon.Request, response: falcon.Response):
         del request
-        response.media = {"names": self._relay.names()}
+        response.media = {"names": self._relay.client_names()}
 
 
 def main() -> None:
@@ -153,7 +173,7 @@
     listener = server.StreamServer((HOST, options.listen), relay.accept)
     listener.start()
     app = make_app()
-    app.add_route("/control", _Control(relay))
+    app.add_route("/control", _ControlResource(relay))
     serve(app, options.port)
 
 
--- a/standins/tests/test_recovery.py
+++ b/standins/tests/test_recovery.py
@@ -1,15 +1,15 @@
-"""Faults of stages, links and entries over real processes."""
+"""Tests of faults of stages, links and entries over real processes."""
 
 import signal
 
 import pytest
 
-from standins.callers import Caller, Load
+from standins.callers import Caller, ClosedLoopLoad
 from standins.site import EngineSpec, EntrySpec, make_site
 
 _ACCOUNT = "school-1"
 _TOKENS = 300
-_BEFORE_FAULT = 20
+_CHUNKS_BEFORE_FAULT = 20
 _BOUNDS = ((0, 12), (12, 24))
 _SIDES = ("side-a-0", "side-a-1", "side-b-0", "side-b-1")
 _PROMPT = "two planets rise over the autumn dome"
@@ -43,8 +43,8 @@
 
 
 @pytest.fixture(autouse=True)
-def _whole(site):
-    """Begins with every side known, ends with no stream kept anywhere."""
+def _restore_and_check(site):
+    """Restarts ended sides before a test and checks for leaks after it."""
     for name in _SIDES:
         process = site.processes[name]
         if process.popen.poll() is not None:
@@ -59,10 +59,10 @@
         ),
         "the end of every stream",
     )
-    assert _repeated(site) == 0
+    assert _repeated_runs(site) == 0
 
 
-def _ask(site, seed, tokens=_TOKENS, entry="entry-a"):
+def _request(site, seed, tokens=_TOKENS, entry="entry-a"):
     return Caller(site, entry, _ACCOUNT, _PROMPT, tokens, seed)
 
 
@@ -74,18 +74,18 @@
     }
 
 
-def _begin(site, seed, tokens=_TOKENS):
-    """Returns a caller whose tokens flow, and the sides of its chain."""
+def _start_stream(site, seed, tokens=_TOKENS):
+    """Returns a caller that receives tokens, and the sides of its chain."""
     before = _opened(site)
-    caller = _ask(site, seed, tokens)
-    caller.wait_parts(_BEFORE_FAULT)
+    caller = _request(site, seed, tokens)
+    caller.wait_for_chunks(_CHUNKS_BEFORE_FAULT)
     now = _opened(site)
-    used = sorted(
+    sides = sorted(
         (name for name in now if now[name] > before[name]),
         key=lambda name: name[-1],
     )
-    assert len(used) == len(_BOUNDS)
-    return caller, used
+    assert len(sides) == len(_BOUNDS)
+    return caller, sides
 
 
 def _engine(side):
@@ -93,12 +93,12 @@
 
 
 def _layers_run(site, side):
-    return site.observe(_engine(side))["layers_run"]
+    return site.read_counters(_engine(side))["layers_run"]
 
 
-def _repeated(site):
+def _repeated_runs(site):
     return sum(
-        site.observe(name)["repeated"]
+        site.read_counters(name)["repeated"]
         for name, process in site.processes.items()
         if process.role == "engine"
     )
@@ -109,109 +109,110 @@
 
 
 def test_crash_of_a_stage_runs_nothing_twice(site):
-    """A caller waits while layers that still live run again.
+    """Guards against recomputation in stages that have not failed.
 
-    The last stage's side process is killed; the first stage feeds the
+    The last stage's side process is killed. The first stage feeds the
     replacement from its journal, and its engine runs each position once.
     """
     before = {s: _layers_run(site, s) for s in _opened(site)}
-    caller, (first, last) = _begin(site, 11)
+    caller, (first, last) = _start_stream(site, 11)
     site.processes[last].kill()
-    assert caller.join().right
+    assert caller.join().is_correct
     layers = 12 * (len(caller.prompt_tokens()) + _TOKENS - 1)
     assert _layers_run(site, first) - before[first] == layers
 
 
 def test_frozen_stage_is_replaced_and_wakes_harmlessly(site):
-    """A caller's stream hangs although every connection is open.
+    """Guards against a stream that hangs while all connections are open.
 
-    A side process is stopped, so that its kernel still accepts; it answers
-    on no connection and is replaced. Awake again it holds an old attempt,
-    which its peers refuse and which it then forgets.
+    A side process is suspended, so its kernel still accepts connections but
+    the process does not respond. It is replaced. After it resumes, it holds
+    an old attempt, which its peers refuse and which it then discards.
     """
-    caller, (_, last) = _begin(site, 12)
+    caller, (_, last) = _start_stream(site, 12)
     site.processes[last].signal(signal.SIGSTOP)
-    assert caller.join().right
+    assert caller.join().is_correct
     site.processes[last].signal(signal.SIGCONT)
     site.wait_for(
         lambda: site.metric(last, "caroblug_streams") == 0,
         "the old attempt's end",
     )
     site.wait_ready()
-    assert _ask(site, 13, 30).join().right
+    assert _request(site, 13, 30).join().is_correct
 
 
 def test_hung_engine_is_found_by_its_side(site):
-    """A caller's stream hangs while every side process answers.
+    """Guards against a stream that hangs while all side processes respond.
 
-    An engine hangs behind a side process that lives; the side takes it for
-    lost, tells the entry, and offers the engine again once it answers.
+    An engine hangs while its side process runs. The side considers the engine
+    lost, reports this to the entry, and becomes ready again once the engine
+    responds.
     """
-    caller, (first, _) = _begin(site, 14)
+    caller, (first, _) = _start_stream(site, 14)
     site.control(_engine(first), {"hang": True})
-    assert caller.join().right
+    assert caller.join().is_correct
     site.control(_engine(first), {"hang": False})
     site.wait_http(site.processes[first].http_port, "/readyz")
 
 
 def test_cut_link_between_two_sides(site):
-    """A caller's stream hangs while the entry reaches every stage.
+    """Guards against a stream that hangs while the entry reaches all stages.
 
-    The link between two sides is cut; only they notice. The side that sends
-    tells the entry, and the stage it can't reach is replaced.
+    The link between two sides is cut, which only these detect. The sending
+    side reports it to the entry, which replaces the unreachable stage.
     """
     for seed in range(100, 130):
-        caller, used = _begin(site, seed)
-        if used == ["side-a-0", "side-a-1"]:
+        caller, sides = _start_stream(site, seed)
+        if sides == ["side-a-0", "side-a-1"]:
             break
-    assert used == ["side-a-0", "side-a-1"], "no chain over the relays"
+    assert sides == ["side-a-0", "side-a-1"], "no chain over the relays"
     site.control("relay-side-a-1", {"cut": "side-a-0"})
     site.control("relay-side-a-0", {"cut": "side-a-1"})
-    assert caller.join().right
+    assert caller.join().is_correct
     site.control("relay-side-a-1", {"heal": "side-a-0"})
     site.control("relay-side-a-0", {"heal": "side-a-1"})
-    assert _repeated(site) == 0
+    assert _repeated_runs(site) == 0
 
 
 @pytest.mark.parametrize("order", ["silence", "reset"])
 def test_lost_connections_disturb_nothing(site, order):
-    """A caller's stream is moved although all of its stages live.
+    """Guards against a recovery that lost connections do not require.
 
-    Every connection through two relays goes silent for good, or is reset,
-    while new ones work; what was lost is sent again on a new connection,
-    and no stream needs another attempt.
+    All connections through two relays become silent or are reset, while new
+    ones work. Lost frames are resent on a new connection, and no stream needs
+    another attempt.
     """
     recovered = _recovered(site)
-    caller, _ = _begin(site, 16)
+    caller, _ = _start_stream(site, 16)
     for relay in ("relay-side-a-0", "relay-side-a-1"):
         site.control(relay, {order: "*"})
-    assert caller.join().right
+    assert caller.join().is_correct
     assert _recovered(site) == recovered
 
 
 def test_two_faults_at_once(site):
-    """A caller's stream hangs for good after a second fault.
+    """Guards against a stream that hangs after two concurrent faults.
 
-    One stage is killed and the other frozen at the same moment: no stage
-    lives on, and a whole new chain runs the prompt again.
+    One stage is killed and the other one suspended at the same time. No
+    stage is left, and a new chain runs the prompt again.
     """
-    caller, (first, last) = _begin(site, 17)
+    caller, (first, last) = _start_stream(site, 17)
     site.processes[first].signal(signal.SIGSTOP)
     site.processes[last].kill()
-    assert caller.join().right
+    assert caller.join().is_correct
     site.processes[first].signal(signal.SIGCONT)
 
 
 def test_streams_of_a_dead_entry_end(site):
-    """Engines go on for callers who are gone.
+    """Guards against work for streams whose entry has crashed.
 
-    An entry is killed with a stream running; its sides lose the connection
-    and forget the stream.
+    An entry is killed while it has a stream. The sides lose the connection
+    and discard the stream.
     """
     site.start_entry(EntrySpec(name="entry-b", data_centre="muscat-b"))
     site.wait_ready()
-    caller = _ask(site, 18, 5000, entry="entry-b")
-    caller.wait_parts(_BEFORE_FAULT)
+    caller = _request(site, 18, 5000, entry="entry-b")
+    caller.wait_for_chunks(_CHUNKS_BEFORE_FAULT)
     site.processes.pop("entry-b").kill()
     site.wait_for(
         lambda: all(
@@ -219,42 +220,43 @@
         ),
         "the end of the dead entry's streams",
     )
-    assert not caller.join().right
+    assert not caller.join().is_correct
 
 
 def test_leaving_side_hands_its_streams_on(site):
-    """A caller's stream is cut short by a restart.
+    """Guards against a stream that is cut off when a side process drains.
 
-    A side process is told to stop and its drain is shorter than a stream;
-    before it ends, another first stage takes over and the last one goes on.
-    The old one is told so, and must not end the stage behind it as well.
+    A side process is stopped, and its drain time is shorter than the stream.
+    Before it ends, another instance takes over the first stage and the last
+    stage continues. The cancellation of the old stage must not end the last
+    stage as well.
     """
-    caller, (first, _) = _begin(site, 19, 800)
+    caller, (first, _) = _start_stream(site, 19, 800)
     assert site.stop(first) == 0
-    assert caller.join().right
+    assert caller.join().is_correct
     assert site.metric("entry-a", "caroblug_streams_handed_on_total") >= 1
 
 
 def test_listed_as_leaving_gets_nothing_new(site):
-    """A stream is cut off on an instance that the platform takes away.
+    """Guards against streams cut off on an instance that the platform removes.
 
-    The list says that an instance leaves before its side process knows. The
-    entry opens nothing new there, the side drains by itself, and callers
-    who come meanwhile see nothing of it.
+    The instance list shows an instance as leaving before its side process
+    knows. The entry opens no new streams there, the side process drains, and
+    requests that arrive meanwhile succeed.
     """
-    caller, (first, _) = _begin(site, 20)
+    caller, (first, _) = _start_stream(site, 20)
     site.list_instance(first, "leaving")
     site.wait_for(
         lambda: site.metric("entry-a", "caroblug_listed_leaving") == 1,
         "the list's change",
     )
     before = site.metric(first, "caroblug_streams_opened_total")
-    later = [_ask(site, 30 + number, 60) for number in range(4)]
-    for another in later:
-        assert another.join().right
-        # It may have drained and ended by now, which is right as well.
+    later_callers = [_request(site, 30 + number, 60) for number in range(4)]
+    for later_caller in later_callers:
+        assert later_caller.join().is_correct
+        # The side may also have drained and ended by now.
         assert _opened_until_end(site, first) in (before, None)
-    assert caller.join().right
+    assert caller.join().is_correct
     assert site.processes[first].popen.wait(30) == 0
     site.list_instance(first)
 
@@ -272,14 +274,14 @@
 
 
 def test_rolling_restart_cuts_nothing_short(site):
-    """A caller's stream breaks whenever the fleet is updated.
+    """Guards against broken streams during a rolling update.
 
-    Every side and every entry is restarted, one after the other, while
-    callers come to whichever entry says that it is ready.
+    All sides and entries are restarted, one after the other, while requests
+    go to the entries that are ready.
     """
     site.start_entry(EntrySpec(name="entry-b", data_centre="muscat-b"))
     site.wait_ready()
-    load = Load(site, _ACCOUNT, ("entry-a", "entry-b"), tokens=40)
+    load = ClosedLoopLoad(site, _ACCOUNT, ("entry-a", "entry-b"), tokens=40)
     for name in (*_SIDES, "entry-a", "entry-b"):
         assert site.stop(name) == 0
         site.restart(name)
--- a/standins/weights.py
+++ b/standins/weights.py
@@ -1,4 +1,4 @@
-"""A stand-in weight store: gives leave to load, so many in a while."""
+"""Stand-in for the weight store, which limits the rate of loads."""
 
 from gevent import monkey
 
@@ -12,12 +12,18 @@
 from standins._serve import make_app, serve
 
 
-class Weights:
-    """The store's state.
+class WeightStore:
+    """State of the weight store.
 
     Args:
-        loads: Loads in each period.
+        loads: Number of loads that are granted in each period.
         period_s: Length of a period.
+
+    Attributes:
+        given: Number of granted loads.
+        refused: Number of refused requests.
+        early: Number of requests sent before the end of the `Retry-After`
+            that the client had received.
     """
 
     def __init__(self, loads: int, period_s: float) -> None:
@@ -26,50 +32,64 @@
         self.given = 0
         self.refused = 0
         self.early = 0
-        self._times: list[float] = []
-        self._told: dict[str, float] = {}
+        self._granted_at_s: list[float] = []
+        self._retry_at_s: dict[str, float] = {}
+
+    def reserve(self, client: str) -> float:
+        """Grants or refuses a load.
+
+        Args:
+            client: Address of the client.
 
-    def reserve(self, who: str) -> float:
-        """Gives leave and returns 0, or returns the seconds to wait."""
+        Returns:
+            0 if the load is granted, else the seconds until a retry may
+            succeed.
+        """
         now = time.monotonic()
-        self.early += now < self._told.pop(who, now)
-        self._times = [t for t in self._times if t > now - self.period_s]
-        if len(self._times) < self.loads:
-            self._times.append(now)
+        self.early += now < self._retry_at_s.pop(client, now)
+        self._granted_at_s = [
+            t for t in self._granted_at_s if t > now - self.period_s
+        ]
+        if len(self._granted_at_s) < self.loads:
+            self._granted_at_s.append(now)
             self.given += 1
             return 0.0
         self.refused += 1
-        wait_s = self._times[0] + self.period_s - now
-        self._told[who] = now + wait_s
+        wait_s = self._granted_at_s[0] + self.period_s - now
+        self._retry_at_s[client] = now + wait_s
         return wait_s
 
 
-class _Loads:
-    def __init__(self, weights: Weights) -> None:
-        self._weights = weights
+class _LoadsResource:
+    """Grants a load, or responds with status 429 and `Retry-After`."""
+
+    def __init__(self, store: WeightStore) -> None:
+        self._store = store
 
     def on_post(self, request: falcon.Request, response: falcon.Response):
-        who = f"{request.remote_addr}:{request.env.get('REMOTE_PORT')}"
-        wait_s = self._weights.reserve(who)
+        client = f"{request.remote_addr}:{request.env.get('REMOTE_PORT')}"
+        wait_s = self._store.reserve(client)
         if wait_s:
             response.status = falcon.HTTP_429
             response.set_header("Retry-After", f"{wait_s:.3f}")
             return
         response.status = falcon.HTTP_201
-        response.media = {"ticket": str(self._weights.given)}
+        response.media = {"ticket": str(self._store.given)}
+
 
+class _ControlResource:
+    """Returns the counters of the store."""
 
-class _Counts:
-    def __init__(self, weights: Weights) -> None:
-        self._weights = weights
+    def __init__(self, store: WeightStore) -> None:
+        self._store = store
 
     def on_get(self, request: falcon.Request, response: falcon.Response):
         del request
-        weights = self._weights
+        store = self._store
         response.media = {
-            "given": weights.given,
-            "refused": weights.refused,
-            "early": weights.early,
+            "given": store.given,
+            "refused": store.refused,
+            "early": store.early,
         }
 
 
@@ -80,10 +100,10 @@
     parser.add_argument("--loads", type=int, default=2)
     parser.add_argument("--period-s", type=float, default=1.0)
     options = parser.parse_args()
-    weights = Weights(options.loads, options.period_s)
+    store = WeightStore(options.loads, options.period_s)
     app = make_app()
-    app.add_route("/v1/loads", _Loads(weights))
-    app.add_route("/control", _Counts(weights))
+    app.add_route("/v1/loads", _LoadsResource(store))
+    app.add_route("/control", _ControlResource(store))
     serve(app, options.port)
 
 
